--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -66,9 +66,7 @@
 func (inv *Inventory) UseConfig(config *routes.Config, service string) {
 	inv.Models = nil
 	if s := config.Services[service]; s != nil && s.Engine != nil {
-		for _, m := range s.Engine.Models {
-			inv.Models = append(inv.Models, m.Name)
-		}
+		inv.Models = append(inv.Models, s.Engine.Models...)
 	}
 	for _, s := range config.Services {
 		if s.Origin != "" {
--- a/objectstore/client.go
+++ b/objectstore/client.go
@@ -40,16 +40,6 @@
 	return func(cfg *Config) { cfg.HTTP = c }
 }
 
-// WithTimeout sets the limit on a call that does not wait.
-func WithTimeout(d time.Duration) Option {
-	return func(cfg *Config) { cfg.Timeout = d }
-}
-
-// WithWait sets how long the platform may hold a watch.
-func WithWait(d time.Duration) Option {
-	return func(cfg *Config) { cfg.Wait = d }
-}
-
 // WithShare sets the process's share of the platform's reads and writes a second.
 func WithShare(reads, writes float64) Option {
 	return func(cfg *Config) { cfg.Reads, cfg.Writes = reads, writes }
--- a/routes/routes.go
+++ b/routes/routes.go
@@ -87,34 +87,19 @@
 	ReadPerSecond float64
 	// UsualPrompt and UsualAnswer are mean numbers of tokens.
 	UsualPrompt, UsualAnswer float64
-	// KVTokens is how many tokens of running requests the memory holds.
-	KVTokens int
-	// ReportLag is the age of what an engine reports of itself.
-	ReportLag time.Duration
-	// Models are the models that the engines run.
-	Models []Model
-	// Chunks is the number of pieces that weights come in, of ChunkBytes each.
-	Chunks, ChunkBytes int
-}
-
-// Model is a model of an engine.
-type Model struct {
-	Name string
-	// Warm is how long the engine takes to activate staged weights.
-	Warm time.Duration
+	// Models are the names of the models that the engines run.
+	Models []string
 }
 
 // Service is a group of endpoints that serve the same.
 type Service struct {
-	Name           string
-	MaxConnections int
+	Name string
 	// Engine is nil for a plain service.
 	Engine *Engine
 	// Origin is the address of an origin of weights; empty for other services.
 	Origin string
 	// LinkMbps is the bandwidth of an origin, in megabits a second.
 	LinkMbps float64
-	Zone     string
 }
 
 // Account is a client account.
--- a/settings/agent.go
+++ b/settings/agent.go
@@ -14,7 +14,8 @@
 	Engine string `json:"engine"`
 	// Plain says that the endpoint is a plain service: it loads no weights.
 	Plain bool `json:"plain,omitempty"`
-	// Fenced says that the engine checks the epoch of the orders it gets.
+	// Fenced says that the engine checks the epoch of the orders it gets. It is
+	// for the reader of the settings: orders carry an epoch in either case.
 	Fenced bool `json:"fenced"`
 	// Slots is how many requests the endpoint runs at once.
 	Slots int `json:"slots"`
--- a/settings/site.go
+++ b/settings/site.go
@@ -26,8 +26,6 @@
 	LinkMbps float64
 	// MemoryMB is the memory that the process may use, in megabytes.
 	MemoryMB int
-	// Contact is how long a VM must be undisturbed before time bounds hold for it.
-	Contact time.Duration
 	// Grace is how long a planned stop may take.
 	Grace time.Duration
 	// RetryShare and RetryExtra bound the repeated requests of all entries
--- a/swarm/config.go
+++ b/swarm/config.go
@@ -81,7 +81,7 @@
 	return func(cfg *Config) { cfg.Patience = n }
 }
 
-// WithRand sets the source of tie breaks.
+// WithRand sets the source of tie breaks; tests that must repeat set it.
 func WithRand(r *rand.Rand) Option {
 	return func(cfg *Config) { cfg.Rand = r }
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -41,7 +41,7 @@
 // ClientOption changes a Client.
 type ClientOption func(*Client)
 
-// WithDialer sets what opens connections.
+// WithDialer sets what opens connections; tests connect by a network in memory.
 func WithDialer(d Dialer) ClientOption {
 	return func(c *Client) { c.dialer = d }
 }
--- a/verdict/classify.go
+++ b/verdict/classify.go
@@ -33,16 +33,6 @@
 	return progressNames[p]
 }
 
-// ParseProgress returns the progress named s and whether there is one.
-func ParseProgress(s string) (Progress, bool) {
-	for p, name := range progressNames {
-		if name == s {
-			return p, true
-		}
-	}
-	return Dialing, false
-}
-
 // Classify returns the outcome of a hop that failed with err at progress p.
 //
 // Before the first byte is written the request cannot have run, whatever the
