--- a/Makefile
+++ b/Makefile
@@ -20,8 +20,8 @@
 
 # Sessions run under the race detector one by one; the script says why.
 test: ## run all tests
-	go test -race -timeout 10m $$(go list ./... | grep -v /session$$)
-	go test -timeout 5m ./session
+	go test -race -timeout 10m $$(go list ./... | grep -v /standalone/session$$)
+	go test -timeout 5m ./standalone/session
 	scripts/race-sessions.sh
 
 check: lint spec ## formatter, vet, linter and the model checker
@@ -39,10 +39,10 @@
 	spec/check.sh
 
 bench: ## measure rollouts; takes some minutes
-	go run ./bench/burst
+	go run ./standalone/bench/burst
 
 fuzz: ## search on from the corpus, one decoder after the other
 	scripts/fuzz.sh $(FUZZTIME)
 
 golden: ## write the golden sessions anew
-	go test ./session -run TestGolden -update
+	go test ./standalone/session -run TestGolden -update
--- a/cmd/silverdeck-agent/main.go
+++ b/cmd/silverdeck-agent/main.go
@@ -6,9 +6,9 @@
 
 	"go.uber.org/fx"
 
-	"github.com/silverdeck/silverdeck/agent"
 	"github.com/silverdeck/silverdeck/process"
 	"github.com/silverdeck/silverdeck/settings"
+	"github.com/silverdeck/silverdeck/standalone/agent"
 )
 
 func main() {
--- a/cmd/silverdeck-entry/main.go
+++ b/cmd/silverdeck-entry/main.go
@@ -6,9 +6,9 @@
 
 	"go.uber.org/fx"
 
-	"github.com/silverdeck/silverdeck/entry"
 	"github.com/silverdeck/silverdeck/process"
 	"github.com/silverdeck/silverdeck/settings"
+	"github.com/silverdeck/silverdeck/standalone/entry"
 )
 
 // stopLimit is how long a planned stop waits for requests in progress.
--- a/cmd/silverdeck-standin/drive.go
+++ b/cmd/silverdeck-standin/drive.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"github.com/silverdeck/silverdeck/operator"
-	"github.com/silverdeck/silverdeck/standin"
+	"github.com/silverdeck/silverdeck/standalone/operator"
+	"github.com/silverdeck/silverdeck/standalone/standin"
 )
 
 type driveCmd struct {
--- a/cmd/silverdeck-standin/main.go
+++ b/cmd/silverdeck-standin/main.go
@@ -11,7 +11,7 @@
 
 	"github.com/alexflint/go-arg"
 
-	"github.com/silverdeck/silverdeck/standin"
+	"github.com/silverdeck/silverdeck/standalone/standin"
 )
 
 const mib = 1 << 20
--- a/cmd/silverdeck/main.go
+++ b/cmd/silverdeck/main.go
@@ -13,7 +13,7 @@
 	"github.com/alexflint/go-arg"
 
 	"github.com/silverdeck/silverdeck"
-	"github.com/silverdeck/silverdeck/operator"
+	"github.com/silverdeck/silverdeck/standalone/operator"
 )
 
 // Exit statuses that scripts can use.
--- a/cmd/silverdeck/objects.go
+++ b/cmd/silverdeck/objects.go
@@ -10,9 +10,9 @@
 	"path/filepath"
 	"strings"
 
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/operator"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/operator"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 )
 
 type applyCmd struct {
--- a/cmd/silverdeck/rollout.go
+++ b/cmd/silverdeck/rollout.go
@@ -7,9 +7,9 @@
 	"os"
 	"time"
 
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/operator"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/operator"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 )
 
 type rolloutCmd struct {
--- a/cmd/silverdeck/show.go
+++ b/cmd/silverdeck/show.go
@@ -10,10 +10,10 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/operator"
-	"github.com/silverdeck/silverdeck/plan"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/operator"
+	"github.com/silverdeck/silverdeck/standalone/plan"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 )
 
 // outputJSON asks for JSON.
--- a/cmd/silverdeck/tools.go
+++ b/cmd/silverdeck/tools.go
@@ -8,9 +8,9 @@
 
 	"github.com/zeebo/blake3"
 
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/operator"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/operator"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 	"github.com/silverdeck/silverdeck/weights"
 )
 
--- a/compat/calls_test.go
+++ b/compat/calls_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/silverdeck/silverdeck/member"
 	"github.com/silverdeck/silverdeck/mirror"
-	"github.com/silverdeck/silverdeck/objectstore"
 	"github.com/silverdeck/silverdeck/platform"
 	"github.com/silverdeck/silverdeck/stage"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
 )
 
 // recorder notes each call that a server gets, and answers with the next answer.
--- a/compat/rpc_test.go
+++ b/compat/rpc_test.go
@@ -13,13 +13,13 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"github.com/silverdeck/silverdeck/agent"
 	"github.com/silverdeck/silverdeck/edge"
-	"github.com/silverdeck/silverdeck/entry"
 	"github.com/silverdeck/silverdeck/exchange"
 	"github.com/silverdeck/silverdeck/inventory"
 	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/stage"
+	"github.com/silverdeck/silverdeck/standalone/agent"
+	"github.com/silverdeck/silverdeck/standalone/entry"
 )
 
 // message is a net/rpc message and how to make and read one.
--- a/peer/message.go
+++ b/peer/message.go
@@ -3,8 +3,8 @@
 package peer
 
 import (
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
 	"github.com/silverdeck/silverdeck/swarm"
 	"github.com/silverdeck/silverdeck/weights"
 )
--- a/process/process.go
+++ b/process/process.go
@@ -15,8 +15,8 @@
 	"go.uber.org/fx/fxevent"
 
 	"github.com/silverdeck/silverdeck"
-	"github.com/silverdeck/silverdeck/secure"
 	"github.com/silverdeck/silverdeck/settings"
+	"github.com/silverdeck/silverdeck/standalone/secure"
 	"github.com/silverdeck/silverdeck/telemetry"
 )
 
--- a/scripts/race-sessions.sh
+++ b/scripts/race-sessions.sh
@@ -7,14 +7,14 @@
 set -uo pipefail
 cd "$(dirname "$0")/.."
 mkdir -p out
-go test -race -c -o out/session.test ./session || exit 1
+go test -race -c -o out/session.test ./standalone/session || exit 1
 out=$(mktemp)
 trap 'rm -f "$out"' EXIT
-cd session
-for t in $(../out/session.test -test.list .); do
+cd standalone/session
+for t in $(../../out/session.test -test.list .); do
   status=1
   for try in 1 2 3 4 5; do
-    ../out/session.test -test.timeout 2m -test.run "^$t\$" >"$out" 2>&1
+    ../../out/session.test -test.timeout 2m -test.run "^$t\$" >"$out" 2>&1
     status=$?
     [ $status = 0 ] && break
     grep -qE '^--- FAIL|DATA RACE|^panic:' "$out" && break
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"github.com/silverdeck/silverdeck/platform"
-	"github.com/silverdeck/silverdeck/standin/site"
+	"github.com/silverdeck/silverdeck/standin"
 )
 
 // names are the platform's headers.
@@ -157,7 +157,7 @@
 		if err != nil {
 			return err
 		}
-		if string(got) != site.Answer(id, body) {
+		if string(got) != standin.Answer(id, body) {
 			w.Broken("request %s got %q", id, got)
 		}
 		c.result.Served.Add(1)
@@ -183,7 +183,7 @@
 	for n := 1; ; n++ {
 		event, err := readEvent(reader)
 		if errors.Is(err, io.EOF) && event == "" {
-			if n != site.Events+1 {
+			if n != standin.Events+1 {
 				c.world.witness.Broken("stream %s ended as whole after %d events", id, n-1)
 			}
 			c.result.Served.Add(1)
@@ -192,7 +192,7 @@
 		if err != nil {
 			return err
 		}
-		if event != site.Event(id, n) {
+		if event != standin.Event(id, n) {
 			c.world.witness.Broken("stream %s got %q as event %d", id, event, n)
 			return nil
 		}
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"github.com/silverdeck/silverdeck/standin/site"
+	"github.com/silverdeck/silverdeck/standin"
 	"github.com/silverdeck/silverdeck/wait"
 )
 
@@ -24,8 +24,8 @@
 // storeOutage returns an outage of the store. In every other one the records of
 // all runners lapse; their next heartbeats write them again.
 func (w *world) storeOutage(lapse bool) fault {
-	begin := func() { w.store.SetFault(site.StoreFault{Status: http.StatusServiceUnavailable}) }
-	end := func() { w.store.SetFault(site.StoreFault{}) }
+	begin := func() { w.store.SetFault(standin.StoreFault{Status: http.StatusServiceUnavailable}) }
+	end := func() { w.store.SetFault(standin.StoreFault{}) }
 	if !lapse {
 		return fault{"store down", begin, end, false}
 	}
@@ -61,7 +61,7 @@
 	link := w.runnerLinks[r.IntN(len(w.runnerLinks))]
 	storeLink := w.storeLinks[r.IntN(len(w.storeLinks))]
 	heal := func(p *Proxy) func() { return func() { p.Set(Link{}) } }
-	storeFault := func(f site.StoreFault) func() { return func() { w.store.SetFault(f) } }
+	storeFault := func(f standin.StoreFault) func() { return func() { w.store.SetFault(f) } }
 	all := []fault{
 		{"entry killed", func() { entry.signal(syscall.SIGKILL) }, nil, false},
 		{"entry stopped", func() { entry.signal(syscall.SIGTERM) }, nil, false},
@@ -79,8 +79,8 @@
 		{"store link reset", func() { storeLink.Set(Link{Refuse: true}) }, heal(storeLink), false},
 		{"store link silent", func() { storeLink.Set(Link{SilentIn: true}) }, heal(storeLink), false},
 		w.storeOutage(chance.IntN(2) == 0),
-		{"store silent", storeFault(site.StoreFault{Silent: true}), storeFault(site.StoreFault{}), false},
-		{"store loses answers", storeFault(site.StoreFault{LostAnswers: true}), storeFault(site.StoreFault{}), false},
+		{"store silent", storeFault(standin.StoreFault{Silent: true}), storeFault(standin.StoreFault{}), false},
+		{"store loses answers", storeFault(standin.StoreFault{LostAnswers: true}), storeFault(standin.StoreFault{}), false},
 		{"store forgets", w.store.Forget, nil, false},
 		{"configuration", w.configure, nil, false},
 		{"new weights", w.nameVersion, nil, true},
--- a/soak/world.go
+++ b/soak/world.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/silverdeck/silverdeck/standin/site"
+	"github.com/silverdeck/silverdeck/standin"
 )
 
 // Config holds a soak's settings.
@@ -44,8 +44,8 @@
 type world struct {
 	cfg     Config
 	net     string
-	store   *site.Store
-	witness *site.Witness
+	store   *standin.Store
+	witness *standin.Witness
 	// storeLinks has a proxy before the store for each process, runnerLinks
 	// one before each runner.
 	storeLinks, runnerLinks []*Proxy
@@ -69,9 +69,9 @@
 // slot is the place of a runner; each restart puts another into it.
 type slot struct {
 	mu     sync.Mutex
-	runner *site.Runner
+	runner *standin.Runner
 	lives  int
-	cfg    site.RunnerConfig
+	cfg    standin.RunnerConfig
 }
 
 // ServeHTTP implements http.Handler.
@@ -91,7 +91,7 @@
 	}
 	s.lives++
 	s.cfg.ID = fmt.Sprintf("i-%s-%d", strings.ReplaceAll(s.cfg.Address, ".", "-"), s.lives)
-	s.runner = site.NewRunner(s.cfg, version)
+	s.runner = standin.NewRunner(s.cfg, version)
 }
 
 // lapse makes the platform forget the runner's record.
@@ -130,13 +130,13 @@
 // newWorld starts everything.
 func newWorld(cfg Config) (*world, error) {
 	w := &world{
-		cfg: cfg, net: fmt.Sprintf("127.%d.%d", 16+os.Getpid()%200, os.Getpid()/200%250), store: site.NewStore(),
-		witness: site.NewWitness(), version: 1, began: time.Now(),
+		cfg: cfg, net: fmt.Sprintf("127.%d.%d", 16+os.Getpid()%200, os.Getpid()/200%250), store: standin.NewStore(),
+		witness: standin.NewWitness(), version: 1, began: time.Now(),
 	}
 	if err := w.serve(w.addr(250, portStore), w.store); err != nil {
 		return nil, err
 	}
-	if err := w.serve(w.addr(251, portOrigin), site.Origin{}); err != nil {
+	if err := w.serve(w.addr(251, portOrigin), standin.Origin{}); err != nil {
 		return nil, err
 	}
 	w.configure()
@@ -171,7 +171,7 @@
 // addRunner adds a runner; number 0 is the plain one, the others have a sidecar.
 func (w *world) addRunner(i int) error {
 	host := 100 + i
-	s := &slot{cfg: site.RunnerConfig{
+	s := &slot{cfg: standin.RunnerConfig{
 		Service: plainService, Zone: zone(i), Address: w.addr(host, portRunner), Slots: 16, Witness: w.witness, Store: w.store,
 	}}
 	if i > 0 {
@@ -194,19 +194,19 @@
 	if i == 0 {
 		return nil
 	}
-	return w.launch(&w.sidecars, "sidecar", i, host, site.Machine{Endpoint: w.addr(host, portDirect), Service: modelService})
+	return w.launch(&w.sidecars, "sidecar", i, host, standin.Machine{Endpoint: w.addr(host, portDirect), Service: modelService})
 }
 
 func (w *world) addEntry(i int) error {
 	host := 1 + i
 	a := entryAddr{callers: w.addr(host, portCallers), directory: w.addr(host, portDirectory), ready: w.addr(host, portReady)}
 	w.entryAddrs = append(w.entryAddrs, a)
-	return w.launch(&w.entries, "gateway", i, host, site.Machine{Callers: a.callers, Ready: a.ready, Directory: a.directory})
+	return w.launch(&w.entries, "gateway", i, host, standin.Machine{Callers: a.callers, Ready: a.ready, Directory: a.directory})
 }
 
 // launch writes the settings of a process and starts it behind its own link to
 // the store.
-func (w *world) launch(list *[]*process, role string, i, host int, m site.Machine) error {
+func (w *world) launch(list *[]*process, role string, i, host int, m standin.Machine) error {
 	store := w.addr(host, portStore)
 	link, err := NewProxy(store, w.addr(250, portStore))
 	if err != nil {
@@ -223,7 +223,7 @@
 	if err != nil {
 		return err
 	}
-	p := newProcess(name, filepath.Join(w.cfg.Programs, "silverdeck-"+role), []string{site.SettingsVariable + "=" + path}, logs)
+	p := newProcess(name, filepath.Join(w.cfg.Programs, "silverdeck-"+role), []string{standin.SettingsVariable + "=" + path}, logs)
 	*list = append(*list, p)
 	w.running.Add(1)
 	go p.run(&w.running)
@@ -237,9 +237,9 @@
 // configure writes a new version of the configuration.
 func (w *world) configure() {
 	w.configVersion++
-	w.store.Configure(site.Configuration{
+	w.store.Configure(standin.Configuration{
 		Version: w.configVersion,
-		Routes: []site.Route{
+		Routes: []standin.Route{
 			{Name: "stream", Host: streamHost, Service: modelService, Stream: true, Timeout: streamLimit, Aim: 400 * time.Millisecond},
 			{Name: "plain", Host: plainHost, Service: plainService, Timeout: 2 * time.Second, Aim: 200 * time.Millisecond},
 		},
--- a/admission/gate.go
+++ b/standalone/admission/gate.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/silverdeck/silverdeck/object"
+	"github.com/silverdeck/silverdeck/standalone/object"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/admission/gate_test.go
+++ b/standalone/admission/gate_test.go
@@ -8,8 +8,8 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silverdeck/silverdeck/admission"
-	"github.com/silverdeck/silverdeck/object"
+	"github.com/silverdeck/silverdeck/standalone/admission"
+	"github.com/silverdeck/silverdeck/standalone/object"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/agent/fence.go
+++ b/standalone/agent/fence.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"sync"
 
-	"github.com/silverdeck/silverdeck/engine"
+	"github.com/silverdeck/silverdeck/standalone/engine"
 )
 
 // FenceError tells that an order was not given because of its epoch.
--- a/agent/fence_test.go
+++ b/standalone/agent/fence_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"github.com/silverdeck/silverdeck/agent"
-	"github.com/silverdeck/silverdeck/engine"
+	"github.com/silverdeck/silverdeck/standalone/agent"
+	"github.com/silverdeck/silverdeck/standalone/engine"
 )
 
 func TestFenceGivesNothingBeforeItHasLearned(t *testing.T) {
--- a/agent/load.go
+++ b/standalone/agent/load.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"github.com/silverdeck/silverdeck/engine"
 	"github.com/silverdeck/silverdeck/exchange"
 	"github.com/silverdeck/silverdeck/peer"
+	"github.com/silverdeck/silverdeck/standalone/engine"
 )
 
 // load has the engine load the verified weights of t.
--- a/bench/burst/scenario.go
+++ b/standalone/bench/burst/scenario.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"github.com/silverdeck/silverdeck/standin"
+	"github.com/silverdeck/silverdeck/standalone/standin"
 	"github.com/silverdeck/silverdeck/swarm"
 	"github.com/silverdeck/silverdeck/weights"
 )
--- a/bench/capacity/main.go
+++ b/standalone/bench/capacity/main.go
@@ -17,13 +17,13 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
-	"github.com/silverdeck/silverdeck/fleet"
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/objectstore"
 	"github.com/silverdeck/silverdeck/peer"
-	"github.com/silverdeck/silverdeck/plan"
-	"github.com/silverdeck/silverdeck/router"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/fleet"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/plan"
+	"github.com/silverdeck/silverdeck/standalone/router"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 	"github.com/silverdeck/silverdeck/swarm"
 	"github.com/silverdeck/silverdeck/weights"
 )
--- a/caller/caller.go
+++ b/standalone/caller/caller.go
@@ -16,13 +16,13 @@
 	"github.com/rcrowley/go-metrics"
 	"github.com/zeebo/blake3"
 
-	"github.com/silverdeck/silverdeck/claim"
-	"github.com/silverdeck/silverdeck/dispatch"
-	"github.com/silverdeck/silverdeck/hop"
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/claim"
+	"github.com/silverdeck/silverdeck/standalone/dispatch"
+	"github.com/silverdeck/silverdeck/standalone/hop"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/ticket"
 	"github.com/silverdeck/silverdeck/telemetry"
-	"github.com/silverdeck/silverdeck/ticket"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/caller/recorder.go
+++ b/standalone/caller/recorder.go
@@ -5,7 +5,7 @@
 
 	"github.com/rcrowley/go-metrics"
 
-	"github.com/silverdeck/silverdeck/ticket"
+	"github.com/silverdeck/silverdeck/standalone/ticket"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/caller/relay.go
+++ b/standalone/caller/relay.go
@@ -5,8 +5,8 @@
 	"io"
 	"net/http"
 
-	"github.com/silverdeck/silverdeck/hop"
-	"github.com/silverdeck/silverdeck/ticket"
+	"github.com/silverdeck/silverdeck/standalone/hop"
+	"github.com/silverdeck/silverdeck/standalone/ticket"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/caller/request.go
+++ b/standalone/caller/request.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/gin-gonic/gin"
 
-	"github.com/silverdeck/silverdeck/dispatch"
-	"github.com/silverdeck/silverdeck/hop"
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/snapshot"
-	"github.com/silverdeck/silverdeck/ticket"
+	"github.com/silverdeck/silverdeck/standalone/dispatch"
+	"github.com/silverdeck/silverdeck/standalone/hop"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/ticket"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/caller/serve.go
+++ b/standalone/caller/serve.go
@@ -13,10 +13,10 @@
 	"github.com/gin-gonic/gin"
 	"go.opentelemetry.io/otel/attribute"
 
-	"github.com/silverdeck/silverdeck/dispatch"
-	"github.com/silverdeck/silverdeck/hop"
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/ticket"
+	"github.com/silverdeck/silverdeck/standalone/dispatch"
+	"github.com/silverdeck/silverdeck/standalone/hop"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/ticket"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/claim/claim.go
+++ b/standalone/claim/claim.go
@@ -18,7 +18,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/silverdeck/silverdeck/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
 	"github.com/silverdeck/silverdeck/verdict"
 	"github.com/silverdeck/silverdeck/wait"
 )
--- a/commit/commit.go
+++ b/standalone/commit/commit.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"time"
 
-	"github.com/silverdeck/silverdeck/objectstore"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 	"github.com/silverdeck/silverdeck/verdict"
 	"github.com/silverdeck/silverdeck/wait"
 )
--- a/commit/commit_test.go
+++ b/standalone/commit/commit_test.go
@@ -11,10 +11,10 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"github.com/silverdeck/silverdeck/commit"
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/objectstore"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/commit"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 )
 
 // fakeStore is a platform whose calls fail as the script says, one letter a
--- a/dispatch/dispatch.go
+++ b/standalone/dispatch/dispatch.go
@@ -8,11 +8,11 @@
 	"net/http"
 	"time"
 
-	"github.com/silverdeck/silverdeck/forward"
-	"github.com/silverdeck/silverdeck/hop"
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/plan"
-	"github.com/silverdeck/silverdeck/router"
+	"github.com/silverdeck/silverdeck/standalone/forward"
+	"github.com/silverdeck/silverdeck/standalone/hop"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/plan"
+	"github.com/silverdeck/silverdeck/standalone/router"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/dispatch/dispatch_test.go
+++ b/standalone/dispatch/dispatch_test.go
@@ -10,13 +10,13 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/silverdeck/silverdeck/casefile"
-	"github.com/silverdeck/silverdeck/dispatch"
-	"github.com/silverdeck/silverdeck/fleet"
-	"github.com/silverdeck/silverdeck/forward"
-	"github.com/silverdeck/silverdeck/object"
 	"github.com/silverdeck/silverdeck/peer"
-	"github.com/silverdeck/silverdeck/plan"
-	"github.com/silverdeck/silverdeck/router"
+	"github.com/silverdeck/silverdeck/standalone/dispatch"
+	"github.com/silverdeck/silverdeck/standalone/fleet"
+	"github.com/silverdeck/silverdeck/standalone/forward"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/plan"
+	"github.com/silverdeck/silverdeck/standalone/router"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/entry/directive.go
+++ b/standalone/entry/directive.go
@@ -5,10 +5,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/silverdeck/silverdeck/fleet"
-	"github.com/silverdeck/silverdeck/objectstore"
 	"github.com/silverdeck/silverdeck/peer"
-	"github.com/silverdeck/silverdeck/plan"
+	"github.com/silverdeck/silverdeck/standalone/fleet"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/plan"
 )
 
 // directive returns what the agent on vm shall do, by plan p, still without the
--- a/entry/operate.go
+++ b/standalone/entry/operate.go
@@ -6,13 +6,13 @@
 	"fmt"
 	"time"
 
-	"github.com/silverdeck/silverdeck/fleet"
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/objectstore"
-	"github.com/silverdeck/silverdeck/operator"
 	"github.com/silverdeck/silverdeck/peer"
-	"github.com/silverdeck/silverdeck/plan"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/fleet"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/operator"
+	"github.com/silverdeck/silverdeck/standalone/plan"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 	"github.com/silverdeck/silverdeck/weights"
 )
 
--- a/entry/planner.go
+++ b/standalone/entry/planner.go
@@ -4,9 +4,9 @@
 	"sync"
 	"sync/atomic"
 
-	"github.com/silverdeck/silverdeck/objectstore"
-	"github.com/silverdeck/silverdeck/plan"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/plan"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 )
 
 // planner keeps the plan for the current configuration and list of VMs.
--- a/entry/service.go
+++ b/standalone/entry/service.go
@@ -6,9 +6,9 @@
 	"errors"
 	"time"
 
-	"github.com/silverdeck/silverdeck/agent"
 	"github.com/silverdeck/silverdeck/exchange"
 	"github.com/silverdeck/silverdeck/peer"
+	"github.com/silverdeck/silverdeck/standalone/agent"
 	"github.com/silverdeck/silverdeck/weights"
 )
 
--- a/entry/spread.go
+++ b/standalone/entry/spread.go
@@ -8,11 +8,11 @@
 
 	"github.com/charmbracelet/log"
 
-	"github.com/silverdeck/silverdeck/agent"
-	"github.com/silverdeck/silverdeck/fleet"
-	"github.com/silverdeck/silverdeck/objectstore"
 	"github.com/silverdeck/silverdeck/peer"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/agent"
+	"github.com/silverdeck/silverdeck/standalone/fleet"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 )
 
 // Spreading between entries.
--- a/entry/watch.go
+++ b/standalone/entry/watch.go
@@ -9,8 +9,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/silverdeck/silverdeck/objectstore"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 	"github.com/silverdeck/silverdeck/wait"
 )
 
--- a/hop/hop_test.go
+++ b/standalone/hop/hop_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/silverdeck/silverdeck/hop"
-	"github.com/silverdeck/silverdeck/object"
+	"github.com/silverdeck/silverdeck/standalone/hop"
+	"github.com/silverdeck/silverdeck/standalone/object"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/object/object_test.go
+++ b/standalone/object/object_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/silverdeck/silverdeck/casefile"
-	"github.com/silverdeck/silverdeck/object"
+	"github.com/silverdeck/silverdeck/standalone/object"
 )
 
 func check(text string) string {
--- a/operator/client.go
+++ b/standalone/operator/client.go
@@ -8,7 +8,7 @@
 	"io"
 	"net/http"
 
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 )
 
 // Client talks to an entry's operators' port.
--- a/operator/handler.go
+++ b/standalone/operator/handler.go
@@ -12,10 +12,10 @@
 	"github.com/google/uuid"
 	"github.com/zeebo/blake3"
 
-	"github.com/silverdeck/silverdeck/commit"
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/objectstore"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/commit"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/operator/operator.go
+++ b/standalone/operator/operator.go
@@ -5,8 +5,8 @@
 import (
 	"context"
 
-	"github.com/silverdeck/silverdeck/plan"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/plan"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 )
 
 // Backend is what the handler needs from its entry.
--- a/plan/plan.go
+++ b/standalone/plan/plan.go
@@ -9,9 +9,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/objectstore"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 	"github.com/silverdeck/silverdeck/swarm"
 	"github.com/silverdeck/silverdeck/weights"
 )
--- a/plan/plan_test.go
+++ b/standalone/plan/plan_test.go
@@ -10,10 +10,10 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/silverdeck/silverdeck/casefile"
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/objectstore"
-	"github.com/silverdeck/silverdeck/plan"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/plan"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 	"github.com/silverdeck/silverdeck/weights"
 )
 
--- a/plan/warn.go
+++ b/standalone/plan/warn.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"slices"
 
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/objectstore"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 )
 
 // vmT keeps signatures short.
--- a/router/eject.go
+++ b/standalone/router/eject.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/silverdeck/silverdeck/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/router/router.go
+++ b/standalone/router/router.go
@@ -11,10 +11,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/silverdeck/silverdeck/fleet"
-	"github.com/silverdeck/silverdeck/object"
 	"github.com/silverdeck/silverdeck/peer"
-	"github.com/silverdeck/silverdeck/plan"
+	"github.com/silverdeck/silverdeck/standalone/fleet"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/plan"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/router/router_test.go
+++ b/standalone/router/router_test.go
@@ -8,12 +8,12 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/silverdeck/silverdeck/fleet"
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/objectstore"
 	"github.com/silverdeck/silverdeck/peer"
-	"github.com/silverdeck/silverdeck/plan"
-	"github.com/silverdeck/silverdeck/router"
+	"github.com/silverdeck/silverdeck/standalone/fleet"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/plan"
+	"github.com/silverdeck/silverdeck/standalone/router"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/session/golden_test.go
+++ b/standalone/session/golden_test.go
@@ -11,9 +11,9 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silverdeck/silverdeck/caller"
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/standin"
+	"github.com/silverdeck/silverdeck/standalone/caller"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/standin"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/session/memnet_test.go
+++ b/standalone/session/memnet_test.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"github.com/silverdeck/silverdeck/secure"
+	"github.com/silverdeck/silverdeck/standalone/secure"
 )
 
 // memnet is a network in memory, for virtual time. Writes never block.
--- a/session/promise_test.go
+++ b/standalone/session/promise_test.go
@@ -11,13 +11,13 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silverdeck/silverdeck/caller"
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/objectstore"
-	"github.com/silverdeck/silverdeck/operator"
-	"github.com/silverdeck/silverdeck/snapshot"
-	"github.com/silverdeck/silverdeck/standin"
-	"github.com/silverdeck/silverdeck/ticket"
+	"github.com/silverdeck/silverdeck/standalone/caller"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/operator"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/standin"
+	"github.com/silverdeck/silverdeck/standalone/ticket"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/session/world_test.go
+++ b/standalone/session/world_test.go
@@ -21,15 +21,15 @@
 	"github.com/rcrowley/go-metrics"
 	"github.com/zeebo/blake3"
 
-	"github.com/silverdeck/silverdeck/agent"
-	"github.com/silverdeck/silverdeck/entry"
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/objectstore"
-	"github.com/silverdeck/silverdeck/operator"
-	"github.com/silverdeck/silverdeck/secure"
 	"github.com/silverdeck/silverdeck/settings"
-	"github.com/silverdeck/silverdeck/snapshot"
-	"github.com/silverdeck/silverdeck/standin"
+	"github.com/silverdeck/silverdeck/standalone/agent"
+	"github.com/silverdeck/silverdeck/standalone/entry"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/operator"
+	"github.com/silverdeck/silverdeck/standalone/secure"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/standin"
 	"github.com/silverdeck/silverdeck/telemetry"
 )
 
--- a/snapshot/change.go
+++ b/standalone/snapshot/change.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"github.com/silverdeck/silverdeck/object"
+	"github.com/silverdeck/silverdeck/standalone/object"
 )
 
 // AnyVersion in Change.Expect says that the object may stand at any version.
--- a/snapshot/interact.go
+++ b/standalone/snapshot/interact.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"github.com/silverdeck/silverdeck/object"
+	"github.com/silverdeck/silverdeck/standalone/object"
 )
 
 // checkInteractions returns a conflict when an object that was changed after
--- a/snapshot/snapshot.go
+++ b/standalone/snapshot/snapshot.go
@@ -15,7 +15,7 @@
 	"io"
 	"slices"
 
-	"github.com/silverdeck/silverdeck/object"
+	"github.com/silverdeck/silverdeck/standalone/object"
 )
 
 // Key is where the platform keeps the snapshot.
--- a/snapshot/snapshot_test.go
+++ b/standalone/snapshot/snapshot_test.go
@@ -6,8 +6,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/silverdeck/silverdeck/object"
-	"github.com/silverdeck/silverdeck/snapshot"
+	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/snapshot"
 )
 
 func model(name string) object.Object {
--- a/standin/engine.go
+++ b/standalone/standin/engine.go
@@ -13,7 +13,7 @@
 
 	"github.com/zeebo/blake3"
 
-	"github.com/silverdeck/silverdeck/engine"
+	"github.com/silverdeck/silverdeck/standalone/engine"
 	"github.com/silverdeck/silverdeck/wait"
 )
 
--- a/standin/platform.go
+++ b/standalone/standin/platform.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/time/rate"
 
-	"github.com/silverdeck/silverdeck/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/objectstore"
 )
 
 // MaxValue is the largest value that the platform holds, in bytes.
--- a/ticket/ticket_test.go
+++ b/standalone/ticket/ticket_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/silverdeck/silverdeck/ticket"
+	"github.com/silverdeck/silverdeck/standalone/ticket"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/standin/site/store.go
+++ b/standin/store.go
@@ -1,7 +1,7 @@
-// Package site has small stand-ins that speak the protocol of the users'
+// Package standin has small stand-ins that speak the protocol of the users'
 // platform: its object store, model and plain endpoints and an origin of
 // weights. They are for tests and for the fault soak.
-package site
+package standin
 
 import (
 	"encoding/json"
--- a/standin/site/witness.go
+++ b/standin/witness.go
@@ -1,4 +1,4 @@
-package site
+package standin
 
 import (
 	"fmt"
