--- a/cmd/silverdeck-agent/main.go
+++ b/cmd/silverdeck-agent/main.go
@@ -7,13 +7,14 @@
 	"go.uber.org/fx"
 
 	"github.com/silverdeck/silverdeck/process"
-	"github.com/silverdeck/silverdeck/settings"
 	"github.com/silverdeck/silverdeck/standalone/agent"
+	"github.com/silverdeck/silverdeck/standalone/secure"
+	"github.com/silverdeck/silverdeck/standalone/settings"
 )
 
 func main() {
 	cfg := settings.DefaultAgent()
-	process.Load(cfg)
+	settings.FromCommandLine(cfg)
 	stop := time.Duration(cfg.StopSeconds) * time.Second
-	process.Run[*agent.Agent]("silverdeck-agent", cfg.Identity, cfg.Telemetry, stop, agent.New, fx.Supply(cfg))
+	process.Run[*agent.Agent]("silverdeck-agent", cfg.Identity, cfg.Telemetry, stop, agent.New, fx.Supply(cfg), fx.Provide(secure.NewNetwork))
 }
--- a/cmd/silverdeck-entry/main.go
+++ b/cmd/silverdeck-entry/main.go
@@ -7,8 +7,9 @@
 	"go.uber.org/fx"
 
 	"github.com/silverdeck/silverdeck/process"
-	"github.com/silverdeck/silverdeck/settings"
 	"github.com/silverdeck/silverdeck/standalone/entry"
+	"github.com/silverdeck/silverdeck/standalone/secure"
+	"github.com/silverdeck/silverdeck/standalone/settings"
 )
 
 // stopLimit is how long a planned stop waits for requests in progress.
@@ -16,6 +17,6 @@
 
 func main() {
 	cfg := settings.DefaultEntry()
-	process.Load(cfg)
-	process.Run[*entry.Entry]("silverdeck-entry", cfg.Identity, cfg.Telemetry, stopLimit, entry.New, fx.Supply(cfg))
+	settings.FromCommandLine(cfg)
+	process.Run[*entry.Entry]("silverdeck-entry", cfg.Identity, cfg.Telemetry, stopLimit, entry.New, fx.Supply(cfg), fx.Provide(secure.NewNetwork))
 }
--- a/cmd/silverdeck-gateway/main.go
+++ b/cmd/silverdeck-gateway/main.go
@@ -3,11 +3,11 @@
 package main
 
 import (
-	"github.com/silverdeck/silverdeck/edge"
-	"github.com/silverdeck/silverdeck/process"
+	"github.com/silverdeck/silverdeck/gateway"
+	"github.com/silverdeck/silverdeck/platform/program"
 )
 
 func main() {
-	site := process.LoadSite()
-	process.RunSite[*edge.Edge]("silverdeck-gateway", site, edge.New)
+	start := program.Load()
+	program.Run[*gateway.Gateway]("silverdeck-gateway", start, gateway.New)
 }
--- a/cmd/silverdeck-sidecar/main.go
+++ b/cmd/silverdeck-sidecar/main.go
@@ -3,11 +3,11 @@
 package main
 
 import (
-	"github.com/silverdeck/silverdeck/process"
+	"github.com/silverdeck/silverdeck/platform/program"
 	"github.com/silverdeck/silverdeck/sidecar"
 )
 
 func main() {
-	site := process.LoadSite()
-	process.RunSite[*sidecar.Sidecar]("silverdeck-sidecar", site, sidecar.New)
+	start := program.Load()
+	program.Run[*sidecar.Sidecar]("silverdeck-sidecar", start, sidecar.New)
 }
--- a/compat/answers_test.go
+++ b/compat/answers_test.go
@@ -13,12 +13,12 @@
 	"github.com/charmbracelet/log"
 	"github.com/rcrowley/go-metrics"
 
-	"github.com/silverdeck/silverdeck/balance"
-	"github.com/silverdeck/silverdeck/gateway"
+	"github.com/silverdeck/silverdeck/gateway/balance"
+	"github.com/silverdeck/silverdeck/gateway/proxy"
+	"github.com/silverdeck/silverdeck/gateway/upstream"
 	"github.com/silverdeck/silverdeck/platform"
 	"github.com/silverdeck/silverdeck/roster"
 	"github.com/silverdeck/silverdeck/telemetry"
-	"github.com/silverdeck/silverdeck/upstream"
 )
 
 // runner is an endpoint that notes the last request and answers as told.
@@ -59,7 +59,7 @@
 
 // site is a gateway before one endpoint.
 type site struct {
-	gateway  *gateway.Gateway
+	proxy    *proxy.Proxy
 	balancer *balance.Balancer
 	registry metrics.Registry
 	endpoint *runner
@@ -73,10 +73,10 @@
 	s.addr = strings.TrimPrefix(server.URL, "http://")
 	draw := func() float64 { return 0.5 }
 	s.balancer = balance.New("a", func(string) int { return 0 }, draw)
-	s.gateway = gateway.New(gateway.Config{
-		Protocol: platform.Protocol(), Balancer: s.balancer, Client: upstream.NewClient(),
-		Budget:  gateway.NewBudget(0.2, 100, 10*time.Second, func() int { return 1 }),
-		Metrics: gateway.NewMetrics(s.registry), Log: log.New(io.Discard),
+	s.proxy = proxy.New(proxy.Config{
+		Headers: platform.HeaderNames(), Balancer: s.balancer, Client: upstream.NewClient(),
+		Budget:  proxy.NewBudget(0.2, 100, 10*time.Second, func() int { return 1 }),
+		Metrics: proxy.NewMetrics(s.registry), Log: log.New(io.Discard),
 		Floor: func(string) int64 { return 0 }, Random: draw,
 	})
 	return s
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.gateway.Use(config)
+	s.proxy.Use(config)
 	list := &roster.List{Revision: 1, Endpoints: map[string]*roster.Endpoint{}}
 	for _, service := range []string{"llm", "a"} {
 		list.Endpoints[service] = &roster.Endpoint{ID: service + "-1", Service: service, Addr: s.addr, Zone: "a", Slots: 12,
@@ -109,7 +109,7 @@
 		r.Host = host
 	}
 	w := httptest.NewRecorder()
-	s.gateway.ServeHTTP(w, r)
+	s.proxy.ServeHTTP(w, r)
 	return fmt.Sprintf("%d %s %q", w.Code, headerText(w.Header()), w.Body)
 }
 
--- a/compat/calls_test.go
+++ b/compat/calls_test.go
@@ -14,7 +14,7 @@
 	"github.com/silverdeck/silverdeck/member"
 	"github.com/silverdeck/silverdeck/mirror"
 	"github.com/silverdeck/silverdeck/platform"
-	"github.com/silverdeck/silverdeck/stage"
+	"github.com/silverdeck/silverdeck/sidecar/stage"
 	"github.com/silverdeck/silverdeck/standalone/objectstore"
 )
 
--- a/compat/rpc_test.go
+++ b/compat/rpc_test.go
@@ -13,13 +13,13 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"github.com/silverdeck/silverdeck/edge"
 	"github.com/silverdeck/silverdeck/exchange"
+	"github.com/silverdeck/silverdeck/gateway"
 	"github.com/silverdeck/silverdeck/inventory"
-	"github.com/silverdeck/silverdeck/peer"
-	"github.com/silverdeck/silverdeck/stage"
+	"github.com/silverdeck/silverdeck/sidecar/stage"
 	"github.com/silverdeck/silverdeck/standalone/agent"
 	"github.com/silverdeck/silverdeck/standalone/entry"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 )
 
 // message is a net/rpc message and how to make and read one.
@@ -43,13 +43,13 @@
 	of[peer.Directive]("Directive"),
 	of[peer.ExchangeRequest]("ExchangeRequest"),
 	of[peer.ExchangeReply]("ExchangeReply"),
-	of[peer.HaveRequest]("HaveRequest"),
-	of[peer.HaveReply]("HaveReply"),
-	of[peer.ManifestRequest]("ManifestRequest"),
-	of[peer.ManifestReply]("ManifestReply"),
+	of[exchange.HaveRequest]("HaveRequest"),
+	of[exchange.HaveReply]("HaveReply"),
+	of[exchange.ManifestRequest]("ManifestRequest"),
+	of[exchange.ManifestReply]("ManifestReply"),
 	of[stage.VersionRequest]("VersionRequest"),
-	of[edge.StateRequest]("StateRequest"),
-	of[edge.StateReply]("StateReply"),
+	of[gateway.StateRequest]("StateRequest"),
+	of[gateway.StateReply]("StateReply"),
 	of[inventory.Query]("Query"),
 	of[inventory.Inventory]("Inventory"),
 }
@@ -100,8 +100,8 @@
 	exchange.Service:      reflect.TypeFor[*exchange.Server](),
 	stage.ManifestService: reflect.TypeFor[*stage.Manifests](),
 	agent.EntryService:    reflect.TypeFor[*entry.Service](),
-	inventory.Service:     reflect.TypeFor[*edge.Inventory](),
-	"Sync":                reflect.TypeFor[*edge.Sync](),
+	inventory.Service:     reflect.TypeFor[*gateway.Inventory](),
+	"Sync":                reflect.TypeFor[*gateway.Sync](),
 }
 
 func TestMethodsKeepTheirNames(t *testing.T) {
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"github.com/silverdeck/silverdeck/peer"
+	"github.com/silverdeck/silverdeck/peerconn"
 	"github.com/silverdeck/silverdeck/swarm"
 	"github.com/silverdeck/silverdeck/weights"
 )
@@ -44,20 +44,20 @@
 
 // Client is a swarm.Transport. It is safe for concurrent use.
 type Client struct {
-	pool *peer.Pool
+	pool *peerconn.Pool
 	http *http.Client
 	base string
 }
 
 // NewClient returns a Client. scheme is http or https.
-func NewClient(pool *peer.Pool, c *http.Client, scheme string) *Client {
+func NewClient(pool *peerconn.Pool, c *http.Client, scheme string) *Client {
 	return &Client{pool: pool, http: c, base: scheme + "://"}
 }
 
 // Have implements swarm.Transport.
 func (c *Client) Have(ctx context.Context, m swarm.Member, root weights.Digest, since int) ([]int, error) {
-	var reply peer.HaveReply
-	err := c.pool.Call(ctx, m.Addr, Service+".Have", peer.HaveRequest{Root: root, Since: since}, &reply)
+	var reply HaveReply
+	err := c.pool.Call(ctx, m.Addr, Service+".Have", HaveRequest{Root: root, Since: since}, &reply)
 	return reply.Chunks, err
 }
 
@@ -94,8 +94,8 @@
 
 // Manifest asks the agent at addr for the manifest of root, and checks it.
 func (c *Client) Manifest(ctx context.Context, addr string, root weights.Digest) (*weights.Manifest, error) {
-	var reply peer.ManifestReply
-	if err := c.pool.Call(ctx, addr, Service+".Manifest", peer.ManifestRequest{Root: root}, &reply); err != nil {
+	var reply ManifestReply
+	if err := c.pool.Call(ctx, addr, Service+".Manifest", ManifestRequest{Root: root}, &reply); err != nil {
 		return nil, err
 	}
 	return CheckManifest(reply.Manifest, root)
--- a/exchange/server.go
+++ b/exchange/server.go
@@ -9,7 +9,6 @@
 
 	"golang.org/x/time/rate"
 
-	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/weights"
 )
 
@@ -65,7 +64,7 @@
 }
 
 // Have is the net/rpc method behind Client.Have.
-func (s *Server) Have(q peer.HaveRequest, reply *peer.HaveReply) error {
+func (s *Server) Have(q HaveRequest, reply *HaveReply) error {
 	set := s.held.Set(q.Root)
 	if set == nil {
 		time.Sleep(haveWait / 4)
@@ -90,7 +89,7 @@
 }
 
 // Manifest is the net/rpc method behind Client.Manifest.
-func (s *Server) Manifest(q peer.ManifestRequest, reply *peer.ManifestReply) error {
+func (s *Server) Manifest(q ManifestRequest, reply *ManifestReply) error {
 	set := s.held.Set(q.Root)
 	if set == nil {
 		return nil
--- a/balance/balance_test.go
+++ b/gateway/balance/balance_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/silverdeck/silverdeck/balance"
+	"github.com/silverdeck/silverdeck/gateway/balance"
 	"github.com/silverdeck/silverdeck/roster"
 )
 
--- a/edge/copies.go
+++ b/gateway/copies.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"github.com/silverdeck/silverdeck/member"
 	"github.com/silverdeck/silverdeck/mirror"
-	"github.com/silverdeck/silverdeck/peer"
+	"github.com/silverdeck/silverdeck/peerconn"
 	"github.com/silverdeck/silverdeck/wait"
 )
 
@@ -43,7 +43,7 @@
 type replicas struct {
 	mirrors map[string]*mirror.Mirror
 	table   *member.Table
-	pool    *peer.Pool
+	pool    *peerconn.Pool
 	log     *log.Logger
 	began   time.Time
 
@@ -65,7 +65,7 @@
 func newReplicas(table *member.Table, l *log.Logger) *replicas {
 	return &replicas{
 		table: table,
-		pool:  peer.NewPool(&net.Dialer{Timeout: dialLimit}),
+		pool:  peerconn.NewPool(&net.Dialer{Timeout: dialLimit}),
 		log:   l,
 		began: time.Now(),
 		lost:  map[string]bool{},
--- a/directory/directory_test.go
+++ b/gateway/directory/directory_test.go
@@ -4,7 +4,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/silverdeck/silverdeck/directory"
+	"github.com/silverdeck/silverdeck/gateway/directory"
 	"github.com/silverdeck/silverdeck/member"
 )
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,297 +1,348 @@
+// Package gateway is the program silverdeck-gateway, which runs on the entry VMs
+// of the users' platform: it puts the proxy, the directory, the copies of the
+// platform's store and the heartbeats between gateways together.
 package gateway
 
 import (
 	"context"
 	"errors"
-	"io"
+	"math/rand/v2"
+	"net"
 	"net/http"
-	"strconv"
-	"strings"
+	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/charmbracelet/log"
+	"github.com/rcrowley/go-metrics"
 
-	"github.com/silverdeck/silverdeck/balance"
-	"github.com/silverdeck/silverdeck/drain"
-	"github.com/silverdeck/silverdeck/routes"
-	"github.com/silverdeck/silverdeck/upstream"
-	"github.com/silverdeck/silverdeck/verdict"
+	"github.com/silverdeck/silverdeck/gateway/balance"
+	"github.com/silverdeck/silverdeck/gateway/proxy"
+	"github.com/silverdeck/silverdeck/gateway/upstream"
+	"github.com/silverdeck/silverdeck/member"
+	"github.com/silverdeck/silverdeck/mirror"
+	"github.com/silverdeck/silverdeck/platform"
+	"github.com/silverdeck/silverdeck/roster"
+	"github.com/silverdeck/silverdeck/wait"
 )
 
-// Config holds a Gateway's parts and settings.
-type Config struct {
-	Protocol Protocol
-	Balancer *balance.Balancer
-	Client   *upstream.Client
-	Budget   *Budget
-	Metrics  *Metrics
-	Log      *log.Logger
-	// Floor returns the version of a model below which no request may begin.
-	Floor  func(model string) int64
-	Random func() float64
-}
+// Times of a gateway.
+const (
+	// addressTTL is for how long callers keep an answer of the directory.
+	addressTTL = 2 * time.Second
+	// versionMargin is taken from the time in which weights must be replaced.
+	versionMargin = 800 * time.Millisecond
+	// acceptLeaving is how long a leaving entry takes new connections, for
+	// callers that kept its address.
+	acceptLeaving = 3 * time.Second
+	// stopMargin is taken from the time that a planned stop may take.
+	stopMargin = 400 * time.Millisecond
+	// registerPause is the time between two tries to register in the store.
+	registerPause = 500 * time.Millisecond
+	// holdEach is a watch's hold for each entry that watches.
+	holdEach      = time.Second
+	gatherMembers = 2 * time.Second
+	shortestHold  = 2500 * time.Millisecond
+	longestHold   = 10 * time.Second
+	// retainLapsed is for how long after the store's return endpoints are kept
+	// whose records lapsed meanwhile: they are written again in about two seconds.
+	retainLapsed = 2200 * time.Millisecond
+	// sweepEvery is how often idle connections are looked at.
+	sweepEvery   = 2 * time.Second
+	headerLimit  = 10 * time.Second
+	idleLimit    = 60 * time.Second
+	headerBytes  = 64 << 10
+	directoryEnd = 100 * time.Millisecond
+	// turns spreads callers over the entries that stand in for others.
+	turns = 1 << 10
+)
 
-// Gateway serves callers' requests. It is safe for concurrent use.
+// Gateway is the process's state.
 type Gateway struct {
-	cfg     Config
-	routes  atomic.Pointer[routes.Config]
-	running *drain.Tracker
-	leaving atomic.Bool
+	cfg       *platform.Settings
+	log       *log.Logger
+	registry  metrics.Registry
+	store     *platform.Store
+	mirrors   map[string]*mirror.Mirror
+	proxy     *proxy.Proxy
+	balancer  *balance.Balancer
+	client    *upstream.Client
+	table     *member.Table
+	self      member.Entry
+	versions  *versions
+	leaving   atomic.Bool
+	replicas  *replicas
+	inventory *Inventory
+	beater    *member.Beater
+	cancel    context.CancelFunc
+	callers   *http.Server
+	side      []*http.Server
+	roster    atomic.Pointer[roster.List]
+	// rosterMu makes changes of roster one at a time.
+	rosterMu sync.Mutex
+	// decoded are the records of roster as they were decoded, by ID.
+	decoded map[string]decodedEndpoint
+	// retention keeps endpoints that the platform's list has lost for a while.
+	retention *roster.Retention
+	// outage is set while no entry that watches the store is answered.
+	outage atomic.Bool
 }
 
-// New returns a Gateway without a configuration.
-func New(cfg Config) *Gateway {
-	return &Gateway{cfg: cfg, running: drain.NewTracker()}
-}
-
-// Use puts c in force for requests that come from now on. An older version
-// than the one in force is ignored.
-func (g *Gateway) Use(c *routes.Config) bool {
-	for {
-		old := g.routes.Load()
-		if old != nil && (c.Revision <= old.Revision || c.Version < old.Version) {
-			return false
-		}
-		if g.routes.CompareAndSwap(old, c) {
-			return true
-		}
+// New returns a Gateway that is not started.
+func New(cfg *platform.Settings, l *log.Logger, registry metrics.Registry) *Gateway {
+	g := &Gateway{
+		cfg:      cfg,
+		log:      l,
+		registry: registry,
+		store:    platform.NewStore(cfg.Store),
+		client:   upstream.NewClient(),
+		versions: newVersions(max(cfg.VersionLimit-versionMargin, 0)),
+		self: member.Entry{
+			Name:    cfg.VM,
+			Life:    rand.Uint64(),
+			Peer:    cfg.Peer,
+			Callers: cfg.Callers,
+			Zone:    cfg.Zone,
+			Region:  cfg.Region,
+		},
+		retention: roster.NewRetention(retainLapsed, min(retainLapsed, cfg.DrainLimit*2/3)),
+	}
+	g.table = member.NewTable(g.self)
+	g.balancer = balance.New(cfg.Zone, g.table.InFlight, rand.Float64)
+	g.balancer.Observe(g.logBelief)
+	g.balancer.Listen(g.table.Suspected)
+	g.proxy = proxy.New(proxy.Config{
+		Headers:  platform.HeaderNames(),
+		Balancer: g.balancer,
+		Client:   g.client,
+		Budget:   proxy.NewBudget(cfg.RetryShare, cfg.RetryExtra, cfg.RetryWindow, g.table.Sharers),
+		Metrics:  proxy.NewMetrics(registry),
+		Log:      l,
+		Floor:    func(model string) int64 { return g.versions.floor(model, time.Now()) },
+		Random:   rand.Float64,
+	})
+	g.replicas = newReplicas(g.table, l)
+	g.inventory = newInventory(g)
+	g.mirrors = map[string]*mirror.Mirror{
+		platform.KindConfig:    g.mirror(platform.KindConfig, nil, g.useConfig),
+		platform.KindEndpoints: g.mirror(platform.KindEndpoints, g.gatherEndpoints, g.useEndpoints),
+		platform.KindVersions:  g.mirror(platform.KindVersions, nil, g.useVersions),
+		platform.KindMembers:   g.mirror(platform.KindMembers, g.gatherMembers, g.useMembers),
 	}
+	g.replicas.mirrors = g.mirrors
+	return g
 }
 
-// Routes returns the configuration in force, or nil.
-func (g *Gateway) Routes() *routes.Config {
-	return g.routes.Load()
+func (g *Gateway) mirror(kind string, gather func() time.Duration, use func(*mirror.State)) *mirror.Mirror {
+	return mirror.New(mirror.Config{
+		Kind:   kind,
+		Source: g.store.Source(kind),
+		Random: rand.Float64,
+		Hold:   g.watchHold,
+		Gather: gather,
+		Reach:  func(lost bool) { g.replicas.reach(kind, lost) },
+		Active: func() bool { return g.active(kind) },
+		Log:    g.log,
+	}, func(s *mirror.State) {
+		use(s)
+		g.tellCopies()
+	})
 }
 
-// Leave makes answers end their connections.
-func (g *Gateway) Leave() {
-	g.leaving.Store(true)
+// active returns whether the copy of kind is kept by calls to the store. The
+// list of entries is read by each at its start.
+func (g *Gateway) active(kind string) bool {
+	if kind == platform.KindMembers && g.mirrors[kind].State().Revision == 0 {
+		return true
+	}
+	return g.replicas.active(kind)
 }
 
-// Running tells of the requests in progress.
-func (g *Gateway) Running() *drain.Tracker {
-	return g.running
+// tellCopies makes an entry that watches the store tell others of its copies.
+func (g *Gateway) tellCopies() {
+	if watching, _ := g.replicas.isWatching(); watching && g.beater != nil {
+		g.beater.News()
+	}
 }
 
-// job is one caller's request on its way.
-type job struct {
-	id      string
-	config  *routes.Config
-	route   *routes.Route
-	account *routes.Account
-	service string
-	request *upstream.Request
-	// model is the model that the caller names, if any.
-	model string
-	// prompt is how many tokens the engine must read first.
-	prompt  int
-	started time.Time
-	// endsAt is when the caller or the route gives up.
-	endsAt time.Time
-	// tried are the endpoints that had the request, by ID.
-	tried []string
-	// lastEvent is the last event that the caller got whole.
-	lastEvent string
-	// firstEvent is the time to a stream's first event, longestGap the longest
-	// pause after it.
-	firstEvent, longestGap time.Duration
-	eventAt                time.Time
-	// begun is set once the answer's head was sent to the caller.
-	begun bool
-	// ran is set once the request may have run somewhere.
-	ran bool
+// gatherEndpoints returns for how long changes of endpoints are gathered: each
+// costs a call of every entry that watches, and the first to hear of one tells
+// the others.
+func (g *Gateway) gatherEndpoints() time.Duration {
+	return g.cfg.DrainLimit / 4
 }
 
-// Refusals.
-const (
-	retrySoon = 300 * time.Millisecond
-	// retryLater is when a caller should come back at the latest if all endpoints
-	// are full, or if there is none: new ones take some seconds. Callers are told
-	// times between leastRetry of it and all of it, so that those who were refused
-	// together do not come back together.
-	retryLater = 2 * time.Second
-	leastRetry = 0.2
-	// callerPatience is the part of their time that callers wait: a third.
-	callerPatience = 3
-	retryNoRoute   = time.Second
-	// defaultDeadline stands for a caller that tells none.
-	defaultDeadline = 30 * time.Second
-	defaultBody     = 4 << 20
-)
+// gatherMembers is the same for changes of entries, which also tell each other.
+func (g *Gateway) gatherMembers() time.Duration {
+	return gatherMembers
+}
 
-// errTimeout is the cause with which a request ends at its time limit.
-var errTimeout = context.DeadlineExceeded
+// watchers returns how many entries watch the store.
+func (g *Gateway) watchers() int {
+	watching, _ := g.replicas.isWatching()
+	return g.table.Watchers(watching)
+}
 
-// ServeHTTP implements http.Handler.
-func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.running.Enter()
-	defer g.running.Leave()
-	if g.leaving.Load() {
-		w.Header().Set("Connection", "close")
-	}
-	j, failure := g.accept(w, r)
-	if failure != nil {
-		g.fail(w, j, failure)
-		return
-	}
-	ctx, cancel := context.WithDeadlineCause(r.Context(), j.endsAt, errTimeout)
-	defer cancel()
-	g.cfg.Budget.Request(j.service, j.started)
-	failure = g.run(ctx, w, j)
-	if failure == nil {
-		g.served(j)
-		return
-	}
-	g.fail(w, j, failure)
+// watchHold returns for how long a watch may stay unanswered: the more entries
+// watch, the sooner one of them finds out for all that watches were lost.
+func (g *Gateway) watchHold() time.Duration {
+	return min(max(holdEach*time.Duration(g.watchers()), shortestHold), longestHold)
 }
 
-// accept checks a request against the configuration and reads its body.
-func (g *Gateway) accept(w http.ResponseWriter, r *http.Request) (*job, *verdict.Error) {
-	p := &g.cfg.Protocol
-	j := &job{id: r.Header.Get(p.RequestID), started: time.Now(), config: g.routes.Load()}
-	if j.config == nil {
-		return j, verdict.NewError(verdict.NotRun, verdict.CodeNoEndpoint, "no configuration yet").After(retryNoRoute)
-	}
-	path, _, _ := strings.Cut(r.RequestURI, "?")
-	j.route = j.config.Match(r.Host, path)
-	if j.route == nil {
-		return j, verdict.NewError(verdict.NotRun, verdict.CodeNotFound, "no route for %s%s", r.Host, path)
+// Start begins to serve.
+func (g *Gateway) Start(context.Context) error {
+	ctx, cancel := context.WithCancel(context.Background())
+	g.cancel = cancel
+	conn, err := net.ListenPacket("udp4", g.cfg.Peer)
+	if err != nil {
+		return err
 	}
-	if !j.route.Public && j.config.NeedsKeys() {
-		j.account = j.config.Account(r.Header.Get(p.Key))
-		if j.account == nil {
-			return j, verdict.NewError(verdict.NotRun, verdict.CodeUnauthorized, "unknown key")
-		}
+	if err := g.listen(); err != nil {
+		return err
 	}
-	body, failure := readBody(w, r, j.config.Limits.BodyBytes)
-	if failure != nil {
-		return j, failure
+	g.beater = member.NewBeater(conn, g.table, member.Handlers{Describe: g.describe, After: g.afterBeat, Notice: g.notice, Heard: func() { g.afterHeard(ctx) }})
+	go g.beater.Run(ctx)
+	go g.replicas.watchLoop(ctx)
+	for _, m := range g.mirrors {
+		go m.Run(ctx)
 	}
-	j.service = j.route.Target(g.cfg.Random())
-	j.model = r.Header.Get(p.Model)
-	j.prompt = promptTokens(r.Header.Get(p.Tokens))
-	j.lastEvent = r.Header.Get(p.LastEvent)
-	j.endsAt = j.started.Add(min(callerDeadline(r.Header.Get(p.Deadline)), j.route.Timeout))
-	j.request = &upstream.Request{Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: g.forwardHeader(r.Header, j), Body: body}
-	return j, nil
+	go g.register(ctx)
+	go g.sweep(ctx)
+	g.log.Info("started", "callers", g.cfg.Callers, "peer", g.cfg.Peer, "life", g.self.Life)
+	return nil
 }
 
-func readBody(w http.ResponseWriter, r *http.Request, limit int) ([]byte, *verdict.Error) {
-	if limit <= 0 {
-		limit = defaultBody
-	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(limit)))
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
-		return nil, verdict.NewError(verdict.NotRun, codeTooLarge, "body of more than %d bytes", limit)
-	}
-	if err != nil {
-		return nil, verdict.NewError(verdict.NotRun, verdict.CodeCanceled, "body not whole").Because(err)
+// Errors of readiness.
+var (
+	errLeaving  = errors.New("gateway: leaving")
+	errNoConfig = errors.New("gateway: no configuration yet")
+	errNoRoster = errors.New("gateway: no endpoints yet")
+)
+
+// Ready implements telemetry.Observed.
+func (g *Gateway) Ready() error {
+	switch {
+	case g.leaving.Load():
+		return errLeaving
+	case g.proxy.Routes() == nil:
+		return errNoConfig
+	case g.roster.Load() == nil:
+		return errNoRoster
 	}
-	return body, nil
+	return nil
 }
 
-func callerDeadline(s string) time.Duration {
-	ms, err := strconv.ParseFloat(s, 64)
-	if err != nil || ms <= 0 {
-		return defaultDeadline
+// State implements telemetry.Observed.
+func (g *Gateway) State() any {
+	revisions := map[string]int64{}
+	for kind, m := range g.mirrors {
+		revisions[kind] = m.State().Revision
 	}
-	return time.Duration(ms * float64(time.Millisecond))
+	return struct {
+		Self      member.Entry     `json:"self"`
+		Live      []member.Entry   `json:"live"`
+		Revisions map[string]int64 `json:"revisions"`
+		InFlight  map[string]int   `json:"inFlight"`
+	}{g.self, g.table.Live(), revisions, g.balancer.InFlight()}
 }
 
-// promptTokens returns the first number of a header of token counts, or 0.
-func promptTokens(s string) int {
-	first, _, _ := strings.Cut(s, ",")
-	n, err := strconv.Atoi(strings.TrimSpace(first))
-	if err != nil || n < 0 {
-		return 0
+// describe returns this entry's heartbeat.
+func (g *Gateway) describe() member.Heartbeat {
+	b := member.Heartbeat{Entry: g.self, Ready: g.Ready() == nil, Copies: map[string]mirror.Version{}, InFlight: g.balancer.InFlight(), Suspects: g.balancer.Suspects(time.Now())}
+	b.Watching, b.Away = g.replicas.isWatching()
+	for kind, m := range g.mirrors {
+		b.Copies[kind] = m.State().Version()
 	}
-	return n
+	return b
 }
 
-// forwardHeader returns the header for endpoints, without what differs from
-// one endpoint to the next.
-func (g *Gateway) forwardHeader(h http.Header, j *job) http.Header {
-	p := &g.cfg.Protocol
-	out := http.Header{}
-	for name, values := range h {
-		if !connectionHeaders[name] {
-			out[name] = values
-		}
+// afterBeat looks at what the last heartbeats told.
+func (g *Gateway) afterBeat(silent []string) {
+	g.balancer.Own(owned(g.roster.Load(), append(g.table.Live(), g.self), g.self.Name))
+	for _, name := range silent {
+		g.log.Warn("entry lost", "entry", name)
 	}
-	for _, name := range strings.Split(h.Get("Connection"), ",") {
-		if name = strings.TrimSpace(name); name != "" {
-			out.Del(name)
-		}
-	}
-	for _, name := range []string{p.Key, p.Account, p.Instance, p.Priority, p.Version} {
-		out.Del(name)
-	}
-	if j.account != nil {
-		out.Set(p.Account, j.account.Name)
+	for _, name := range g.table.Arrived() {
+		g.log.Info("entry heard", "entry", name)
 	}
-	if j.route.Kind == routes.Stream {
-		out.Set(p.Priority, strconv.Itoa(j.priority()))
+	if g.table.Size() == 1 {
+		g.balancer.Touch(time.Now())
 	}
-	return out
+	g.noteOutage()
 }
 
-// connectionHeaders concern a single connection, or are set anew.
-var connectionHeaders = map[string]bool{
-	"Connection":          true,
-	"Keep-Alive":          true,
-	"Proxy-Connection":    true,
-	"Proxy-Authenticate":  true,
-	"Proxy-Authorization": true,
-	"Te":                  true,
-	"Trailer":             true,
-	"Transfer-Encoding":   true,
-	"Upgrade":             true,
-	"Content-Length":      true,
-	"Expect":              true,
+// afterHeard looks at what a heartbeat of another entry told.
+func (g *Gateway) afterHeard(ctx context.Context) {
+	g.balancer.Touch(time.Now())
+	g.replicas.follow(ctx, time.Now())
 }
 
-// codeTooLarge is the reason of a body over the limit.
-const codeTooLarge verdict.Code = "too_large"
-
-// status returns the HTTP status for a failure. A promise that a request was
-// not run is given only with a verdict that says so.
-func status(e *verdict.Error) int {
-	switch e.Code {
-	case verdict.CodeNotFound:
-		return http.StatusNotFound
-	case verdict.CodeUnauthorized:
-		return http.StatusUnauthorized
-	case verdict.CodeBadRequest:
-		return http.StatusBadRequest
-	case codeTooLarge:
-		return http.StatusRequestEntityTooLarge
+// noteOutage takes in whether the store answers anybody.
+func (g *Gateway) noteOutage() {
+	away := g.storeAway()
+	if g.outage.Swap(away) == away {
+		return
 	}
-	if e.Verdict == verdict.NotRun {
-		return http.StatusServiceUnavailable
+	if away {
+		g.retention.StoreLost()
+		return
 	}
-	if e.Code == verdict.CodeDeadline {
-		return http.StatusGatewayTimeout
+	g.retention.StoreReturned(time.Now())
+}
+
+// storeAway returns whether the store answers no entry that watches it, as far
+// as this one knows.
+func (g *Gateway) storeAway() bool {
+	watching, away := g.replicas.isWatching()
+	switch {
+	case watching && !away:
+		return false
+	case g.table.Watchers(false) == 0:
+		return watching
 	}
-	return http.StatusBadGateway
+	return g.table.StoreAway()
 }
 
-// fail gives the caller a final answer that is not an endpoint's.
-func (g *Gateway) fail(w http.ResponseWriter, j *job, e *verdict.Error) {
-	g.logFailure(j, e)
-	if j.begun {
-		panic(http.ErrAbortHandler)
+// register writes this entry's record until the store has taken it.
+func (g *Gateway) register(ctx context.Context) {
+	for ctx.Err() == nil && !g.leaving.Load() {
+		err := g.store.Put(ctx, platform.KindMembers, g.self.Name, g.self)
+		if err == nil {
+			g.log.Info("registered", "entry", g.self.Name)
+			return
+		}
+		g.log.Debug("not registered", "err", err)
+		wait.For(ctx, registerPause)
 	}
-	h := w.Header()
-	h.Set("Content-Type", "text/plain; charset=utf-8")
-	h.Set(g.cfg.Protocol.RequestID, j.id)
-	h.Set(verdict.Header, e.Verdict.String())
-	if status(e) == http.StatusServiceUnavailable && e.RetryAfter > 0 {
-		h.Set(g.cfg.Protocol.RetryAfter, strconv.FormatFloat(e.RetryAfter.Seconds(), 'f', 3, 64))
+}
+
+// sweep closes idle connections that have rested too long.
+func (g *Gateway) sweep(ctx context.Context) {
+	for wait.For(ctx, sweepEvery) {
+		list := g.roster.Load()
+		if list == nil {
+			continue
+		}
+		g.client.Keep(list.Addrs(), time.Now())
+	}
+}
+
+// Stop ends without cutting requests in progress, for as long as the platform allows.
+func (g *Gateway) Stop(ctx context.Context) error {
+	started := time.Now()
+	g.leaving.Store(true)
+	g.proxy.Leave()
+	g.log.Info("stopping", "running", g.proxy.Running().Count())
+	go func() { _ = g.store.Delete(ctx, platform.KindMembers, g.self.Name) }()
+	wait.For(ctx, acceptLeaving)
+	ctx, cancel := context.WithDeadline(ctx, started.Add(g.cfg.Grace-stopMargin))
+	defer cancel()
+	err := g.callers.Shutdown(ctx)
+	g.cancel()
+	for _, s := range g.side {
+		_ = s.Close()
 	}
-	message := string(e.Code) + ": " + e.Detail + "\n"
-	h.Set("Content-Length", strconv.Itoa(len(message)))
-	w.WriteHeader(status(e))
-	_, _ = io.WriteString(w, message)
+	wait.For(context.Background(), directoryEnd)
+	g.log.Info("stopped", "cut", g.proxy.Running().Count(), "ms", time.Since(started).Milliseconds())
+	return err
 }
--- a/gateway/protocol.go
+++ b/gateway/header/header.go
@@ -1,11 +1,9 @@
-// Package gateway takes callers' requests, chooses endpoints and brings the
-// answers back: each request's own answer, whole, or a failure that says
-// truthfully whether the request may have run.
-package gateway
+// Package header names the headers of callers' requests and of endpoints' answers,
+// by what they hold. The platform's adapter gives the words on the wire.
+package header
 
-// Protocol names the headers by which callers and endpoints speak. The adapter
-// of the platform gives them.
-type Protocol struct {
+// Names are the headers' names.
+type Names struct {
 	// RequestID names a request; endpoints echo it.
 	RequestID string
 	// Deadline is how many milliseconds the caller waits.
--- a/edge/inventory.go
+++ b/gateway/inventory.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"cmp"
@@ -24,15 +24,15 @@
 // Inventory tells processes beside endpoints what they need of the platform's
 // store, so that they need not ask it themselves. It is served by net/rpc.
 type Inventory struct {
-	edge *Edge
+	gateway *Gateway
 
 	mu sync.Mutex
 	// news is closed when a version is named or the configuration changes.
 	news chan struct{}
 }
 
-func newInventory(e *Edge) *Inventory {
-	return &Inventory{edge: e, news: make(chan struct{})}
+func newInventory(g *Gateway) *Inventory {
+	return &Inventory{gateway: g, news: make(chan struct{})}
 }
 
 // announce answers those who wait.
@@ -50,7 +50,7 @@
 }
 
 // errNotKnown answers while the configuration or the endpoints are not known.
-var errNotKnown = errors.New("edge: nothing known yet")
+var errNotKnown = errors.New("gateway: nothing known yet")
 
 // Get tells the inventory of a service once it is another than the known one,
 // or after the time that the query gives.
@@ -78,19 +78,19 @@
 
 // now returns what is known of a service, or nil while that is too little.
 func (v *Inventory) now(service string) *inventory.Inventory {
-	e := v.edge
-	config, list := e.gateway.Routes(), e.roster.Load()
-	if config == nil || list == nil || e.mirrors[platform.KindVersions].State().Revision == 0 {
+	g := v.gateway
+	config, list := g.proxy.Routes(), g.roster.Load()
+	if config == nil || list == nil || g.mirrors[platform.KindVersions].State().Revision == 0 {
 		return nil
 	}
-	inv := &inventory.Inventory{Versions: e.versions.newest()}
+	inv := &inventory.Inventory{Versions: g.versions.newest()}
 	inv.UseConfig(config, service)
 	for _, endpoint := range list.Endpoints {
 		if endpoint.Service == service {
-			inv.AddEndpoint(endpoint, e.site.PeerPort, e.site.Regions)
+			inv.AddEndpoint(endpoint, g.cfg.PeerPort, g.cfg.Regions)
 		}
 	}
-	for _, entry := range e.entries() {
+	for _, entry := range g.entries() {
 		inv.AddEntry(entry)
 	}
 	inv.Seal()
@@ -98,8 +98,8 @@
 }
 
 // entries returns all live entries with this one, by name.
-func (e *Edge) entries() []member.Entry {
-	all := append(e.table.Live(), e.self)
+func (g *Gateway) entries() []member.Entry {
+	all := append(g.table.Live(), g.self)
 	slices.SortFunc(all, func(a, b member.Entry) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
--- a/edge/owner.go
+++ b/gateway/owner.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"cmp"
--- a/gateway/attempt.go
+++ b/gateway/proxy/attempt.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
-	"github.com/silverdeck/silverdeck/balance"
+	"github.com/silverdeck/silverdeck/gateway/balance"
+	"github.com/silverdeck/silverdeck/gateway/upstream"
 	"github.com/silverdeck/silverdeck/routes"
-	"github.com/silverdeck/silverdeck/upstream"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
@@ -24,13 +24,13 @@
 
 // run sends the request to one endpoint after another until one answers, or
 // returns the failure to tell the caller.
-func (g *Gateway) run(ctx context.Context, w http.ResponseWriter, j *job) *verdict.Error {
+func (p *Proxy) run(ctx context.Context, w http.ResponseWriter, j *job) *verdict.Error {
 	var last *verdict.Error
 	for range j.route.Attempts {
-		if len(j.tried) > 0 && !g.mayRepeat(ctx, j, last) {
+		if len(j.tried) > 0 && !p.mayRepeat(ctx, j, last) {
 			break
 		}
-		failure := g.attempt(ctx, w, j)
+		failure := p.attempt(ctx, w, j)
 		if failure == nil {
 			return nil
 		}
@@ -39,11 +39,11 @@
 		}
 		last = failure
 	}
-	return g.final(ctx, j, last)
+	return p.final(ctx, j, last)
 }
 
 // mayRepeat returns whether the request may go to another endpoint.
-func (g *Gateway) mayRepeat(ctx context.Context, j *job, last *verdict.Error) bool {
+func (p *Proxy) mayRepeat(ctx context.Context, j *job, last *verdict.Error) bool {
 	if ctx.Err() != nil || last.Code == codeFull || time.Until(j.endsAt) < leastTime {
 		return false
 	}
@@ -53,11 +53,11 @@
 	if last.Code == verdict.CodeUnreachable {
 		return true // nothing arrived anywhere
 	}
-	return g.cfg.Budget.Repeat(j.service, j.use(), time.Now())
+	return p.cfg.Budget.Repeat(j.service, j.use(), time.Now())
 }
 
 // final returns the failure as the caller is told it.
-func (g *Gateway) final(ctx context.Context, j *job, last *verdict.Error) *verdict.Error {
+func (p *Proxy) final(ctx context.Context, j *job, last *verdict.Error) *verdict.Error {
 	e := *last
 	if j.ran {
 		e.Verdict = verdict.MayHaveRun
@@ -81,8 +81,8 @@
 }
 
 // later draws when a caller should come back that finds no room.
-func (g *Gateway) later() time.Duration {
-	part := leastRetry + (1-leastRetry)*g.cfg.Random()
+func (p *Proxy) later() time.Duration {
+	part := leastRetry + (1-leastRetry)*p.cfg.Random()
 	return time.Duration(part * float64(retryLater))
 }
 
@@ -93,8 +93,8 @@
 const codeMisdirected verdict.Code = "misdirected"
 
 // attempt sends the request to one endpoint.
-func (g *Gateway) attempt(ctx context.Context, w http.ResponseWriter, j *job) *verdict.Error {
-	lease, failure := g.pick(j)
+func (p *Proxy) attempt(ctx context.Context, w http.ResponseWriter, j *job) *verdict.Error {
+	lease, failure := p.pick(j)
 	if failure != nil {
 		return failure
 	}
@@ -102,43 +102,43 @@
 	sent := time.Now()
 	outcome := balance.Neutral
 	defer func() { lease.Done(outcome, time.Now()) }()
-	failure, outcome = g.exchange(ctx, w, j, lease)
+	failure, outcome = p.exchange(ctx, w, j, lease)
 	if outcome == balance.Failed && j.route.Kind == routes.Stream && lease.Silence(sent, time.Now()) > j.silenceLimit() {
 		outcome = balance.Silent
 	}
 	if failure != nil {
-		g.logAttempt(j, lease, failure)
+		p.logAttempt(j, lease, failure)
 	}
 	return failure
 }
 
 // exchange sends the request by lease and passes the answer on.
-func (g *Gateway) exchange(ctx context.Context, w http.ResponseWriter, j *job, lease *balance.Lease) (*verdict.Error, balance.Outcome) {
-	x, failure := g.send(ctx, j, lease)
+func (p *Proxy) exchange(ctx context.Context, w http.ResponseWriter, j *job, lease *balance.Lease) (*verdict.Error, balance.Outcome) {
+	x, failure := p.send(ctx, j, lease)
 	if failure != nil {
 		return failure, outcomeOf(failure)
 	}
 	defer x.Close()
 	if x.NewConnection {
-		g.cfg.Metrics.Connections.Inc(1)
+		p.cfg.Metrics.Connections.Inc(1)
 	}
-	if failure, outcome := g.check(j, x); failure != nil {
+	if failure, outcome := p.check(j, x); failure != nil {
 		return failure, outcome
 	}
 	if j.begun && x.Status != http.StatusOK {
 		return verdict.NewError(verdict.MayHaveRun, verdict.CodeEngine, "status %d for the rest of a stream", x.Status), balance.Failed
 	}
 	if j.route.Kind == routes.Stream && x.Status == http.StatusOK {
-		return g.stream(ctx, w, j, x, lease)
+		return p.stream(ctx, w, j, x, lease)
 	}
-	return g.whole(w, j, x)
+	return p.whole(w, j, x)
 }
 
-func (g *Gateway) pick(j *job) (*balance.Lease, *verdict.Error) {
+func (p *Proxy) pick(j *job) (*balance.Lease, *verdict.Error) {
 	q := &balance.Query{Service: j.service, Exclude: j.tried}
 	if j.route.Kind == routes.Stream {
 		q.Model = j.model
-		q.MinVersion = g.cfg.Floor(j.model)
+		q.MinVersion = p.cfg.Floor(j.model)
 		q.Room = j.room()
 		if j.begun {
 			q.Room = anyRoom // it would be cut
@@ -146,14 +146,14 @@
 		q.Reading = j.reading()
 		q.Resumed = len(j.tried) > 0
 	}
-	lease, shortage := g.cfg.Balancer.Pick(q, time.Now())
+	lease, shortage := p.cfg.Balancer.Pick(q, time.Now())
 	if lease != nil {
 		return lease, nil
 	}
 	if shortage == balance.AllFull {
-		return nil, verdict.NewError(verdict.NotRun, codeFull, "all endpoints of %s are full", j.service).After(g.later())
+		return nil, verdict.NewError(verdict.NotRun, codeFull, "all endpoints of %s are full", j.service).After(p.later())
 	}
-	return nil, verdict.NewError(verdict.NotRun, verdict.CodeNoEndpoint, "no endpoint of %s", j.service).After(g.later())
+	return nil, verdict.NewError(verdict.NotRun, verdict.CodeNoEndpoint, "no endpoint of %s", j.service).After(p.later())
 }
 
 // reading returns the time that an engine takes to read the prompt.
@@ -166,29 +166,29 @@
 }
 
 // send sends the request with what differs from one endpoint to the next.
-func (g *Gateway) send(ctx context.Context, j *job, lease *balance.Lease) (*upstream.Exchange, *verdict.Error) {
-	p := &g.cfg.Protocol
+func (p *Proxy) send(ctx context.Context, j *job, lease *balance.Lease) (*upstream.Exchange, *verdict.Error) {
+	names := &p.cfg.Headers
 	q := *j.request
 	q.Header = j.request.Header.Clone()
-	q.Header.Set(p.Instance, lease.Record.ID)
+	q.Header.Set(names.Instance, lease.Record.ID)
 	left := time.Until(j.endsAt)
 	if left < time.Millisecond {
 		return nil, verdict.NewError(verdict.NotRun, verdict.CodeDeadline, "no time left")
 	}
-	q.Header.Set(p.Deadline, strconv.FormatInt(left.Milliseconds(), 10))
+	q.Header.Set(names.Deadline, strconv.FormatInt(left.Milliseconds(), 10))
 	if j.lastEvent != "" {
-		q.Header.Set(p.LastEvent, j.lastEvent)
+		q.Header.Set(names.LastEvent, j.lastEvent)
 	}
 	if j.begun {
-		q.Header.Set(p.Priority, strconv.Itoa(j.priority()))
+		q.Header.Set(names.Priority, strconv.Itoa(j.priority()))
 	}
 	fresh := !j.route.Repeatable() && len(j.tried) > 1
-	return g.cfg.Client.Do(ctx, lease.Record.Addr, &q, upstream.Options{Fresh: fresh, GiveUp: g.giveUp(j, lease)})
+	return p.cfg.Client.Do(ctx, lease.Record.Addr, &q, upstream.Options{Fresh: fresh, GiveUp: p.giveUp(j, lease)})
 }
 
 // giveUp returns what tells that an endpoint is to be given up for another, or
 // nil when the request can't go elsewhere.
-func (g *Gateway) giveUp(j *job, lease *balance.Lease) func() bool {
+func (p *Proxy) giveUp(j *job, lease *balance.Lease) func() bool {
 	if !j.route.Repeatable() {
 		return nil
 	}
@@ -201,14 +201,14 @@
 	return func() bool {
 		now := time.Now()
 		switch {
-		case !j.eventAt.After(sent) && lease.Holds(j.model) < g.cfg.Floor(j.model):
+		case !j.eventAt.After(sent) && lease.Holds(j.model) < p.cfg.Floor(j.model):
 			return true // it would begin on weights that are too old
 		case last:
 			return false
 		case lease.Silence(sent, now) > limit:
-			return g.better(j, anyRoom, now)
+			return p.better(j, anyRoom, now)
 		}
-		return now.Sub(later(sent, j.eventAt)) > g.ownSilence(j) && g.better(j, idleRoom, now)
+		return now.Sub(later(sent, j.eventAt)) > p.ownSilence(j) && p.better(j, idleRoom, now)
 	}
 }
 
@@ -225,9 +225,9 @@
 
 // better returns whether the request could go on now at an endpoint with a load
 // below room. Else its place is the best that there is.
-func (g *Gateway) better(j *job, room float64, now time.Time) bool {
-	q := &balance.Query{Service: j.service, Exclude: j.tried, Model: j.model, MinVersion: g.cfg.Floor(j.model), Room: room}
-	return g.cfg.Balancer.Has(q, now) && g.cfg.Budget.Left(j.service, j.use(), now)
+func (p *Proxy) better(j *job, room float64, now time.Time) bool {
+	q := &balance.Query{Service: j.service, Exclude: j.tried, Model: j.model, MinVersion: p.cfg.Floor(j.model), Room: room}
+	return p.cfg.Balancer.Has(q, now) && p.cfg.Budget.Left(j.service, j.use(), now)
 }
 
 // use returns what a repetition of the request now would be for.
@@ -240,7 +240,7 @@
 
 // ownSilence returns for how long a stream may be silent although its endpoint
 // talks on others: then its answer is lost.
-func (g *Gateway) ownSilence(j *job) time.Duration {
+func (p *Proxy) ownSilence(j *job) time.Duration {
 	if j.begun {
 		return max(lostFactor*j.route.GapAim, leastLost)
 	}
@@ -270,17 +270,17 @@
 }
 
 // check looks at the head of an answer and returns why it can't be passed on.
-func (g *Gateway) check(j *job, x *upstream.Exchange) (*verdict.Error, balance.Outcome) {
-	p := &g.cfg.Protocol
+func (p *Proxy) check(j *job, x *upstream.Exchange) (*verdict.Error, balance.Outcome) {
+	names := &p.cfg.Headers
 	switch {
 	case x.Status == http.StatusMisdirectedRequest:
 		return verdict.NewError(verdict.NotRun, codeMisdirected, "another endpoint has the address"), balance.Misdirected
-	case x.Header.Get(p.NotRun) != "":
+	case x.Header.Get(names.NotRun) != "":
 		drainBody(x)
 		return verdict.NewError(verdict.NotRun, verdict.CodeOverloaded, "refused by the endpoint with %d", x.Status), balance.Refused
-	case x.Header.Get(p.RequestID) != j.id:
+	case x.Header.Get(names.RequestID) != j.id:
 		return verdict.NewError(verdict.MayHaveRun, verdict.CodeCrossed, "answer to another request"), balance.Neutral
-	case x.Status < http.StatusMultipleChoices && x.Header.Get(p.Stamp) == "":
+	case x.Status < http.StatusMultipleChoices && x.Header.Get(names.Stamp) == "":
 		return verdict.NewError(verdict.MayHaveRun, verdict.CodeCut, "answer without a signature"), balance.Failed
 	case promises[x.Status]:
 		drainBody(x)
@@ -309,7 +309,7 @@
 )
 
 // whole reads an answer whole and passes it on unchanged.
-func (g *Gateway) whole(w http.ResponseWriter, j *job, x *upstream.Exchange) (*verdict.Error, balance.Outcome) {
+func (p *Proxy) whole(w http.ResponseWriter, j *job, x *upstream.Exchange) (*verdict.Error, balance.Outcome) {
 	body, err := io.ReadAll(io.LimitReader(x, maxWhole))
 	if err != nil {
 		return verdict.Classify(verdict.Answering, err), balance.Failed
@@ -320,7 +320,7 @@
 	}
 	if outcome == balance.Failed && j.route.Repeatable() && len(j.tried) < j.route.Attempts &&
 		time.Until(j.endsAt) > leastTime {
-		if failure := g.retryError(j, x); failure != nil {
+		if failure := p.retryError(j, x); failure != nil {
 			return failure, outcome
 		}
 	}
@@ -333,9 +333,9 @@
 }
 
 // retryError returns a failure if an error answer is worth another attempt.
-func (g *Gateway) retryError(j *job, x *upstream.Exchange) *verdict.Error {
+func (p *Proxy) retryError(j *job, x *upstream.Exchange) *verdict.Error {
 	q := &balance.Query{Service: j.service, Exclude: j.tried}
-	if !g.cfg.Balancer.Has(q, time.Now()) {
+	if !p.cfg.Balancer.Has(q, time.Now()) {
 		return nil
 	}
 	return verdict.NewError(verdict.MayHaveRun, verdict.CodeEngine, "status %d of the endpoint", x.Status)
--- a/gateway/observe.go
+++ b/gateway/proxy/observe.go
@@ -1,11 +1,11 @@
-package gateway
+package proxy
 
 import (
 	"time"
 
 	"github.com/rcrowley/go-metrics"
 
-	"github.com/silverdeck/silverdeck/balance"
+	"github.com/silverdeck/silverdeck/gateway/balance"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
@@ -36,29 +36,29 @@
 }
 
 // served notes a request that was answered by an endpoint.
-func (g *Gateway) served(j *job) {
+func (p *Proxy) served(j *job) {
 	took := time.Since(j.started)
-	g.cfg.Metrics.Served.Inc(1)
-	g.cfg.Metrics.Whole.Update(took.Microseconds())
+	p.cfg.Metrics.Served.Inc(1)
+	p.cfg.Metrics.Whole.Update(took.Microseconds())
 	if len(j.tried) > 1 {
-		g.cfg.Metrics.Repeats.Inc(int64(len(j.tried) - 1))
+		p.cfg.Metrics.Repeats.Inc(int64(len(j.tried) - 1))
 	}
-	g.cfg.Log.Info("answered", "request", j.id, "route", j.route.Name, "config", j.config.Version,
+	p.cfg.Log.Info("answered", "request", j.id, "route", j.route.Name, "config", j.config.Version,
 		"endpoints", j.tried, "ms", took.Milliseconds(),
 		"firstEventMs", j.firstEvent.Milliseconds(), "longestGapMs", j.longestGap.Milliseconds())
 }
 
 // logAttempt notes that an endpoint did not answer a request as it should.
-func (g *Gateway) logAttempt(j *job, lease *balance.Lease, e *verdict.Error) {
-	g.cfg.Log.Info("attempt failed", "request", j.id, "endpoint", lease.Record.ID, "addr", lease.Record.Addr,
+func (p *Proxy) logAttempt(j *job, lease *balance.Lease, e *verdict.Error) {
+	p.cfg.Log.Info("attempt failed", "request", j.id, "endpoint", lease.Record.ID, "addr", lease.Record.Addr,
 		"weights", lease.Holds(j.model), "attempt", len(j.tried), "ms", time.Since(j.started).Milliseconds(),
 		"code", string(e.Code), "verdict", e.Verdict.String(), "detail", e.Detail, "begun", j.begun,
 		"event", j.lastEvent, "err", e.Err)
 }
 
 // logFailure notes a request that was not answered by an endpoint.
-func (g *Gateway) logFailure(j *job, e *verdict.Error) {
-	g.cfg.Metrics.Failed.Inc(1)
+func (p *Proxy) logFailure(j *job, e *verdict.Error) {
+	p.cfg.Metrics.Failed.Inc(1)
 	route, version := "", int64(0)
 	if j.route != nil {
 		route = j.route.Name
@@ -66,7 +66,7 @@
 	if j.config != nil {
 		version = j.config.Version
 	}
-	g.cfg.Log.Warn("not answered", "request", j.id, "route", route, "config", version,
+	p.cfg.Log.Warn("not answered", "request", j.id, "route", route, "config", version,
 		"endpoints", j.tried, "ms", time.Since(j.started).Milliseconds(), "code", string(e.Code),
 		"verdict", e.Verdict.String(), "detail", e.Detail, "begun", j.begun, "event", j.lastEvent, "err", e.Err)
 }
--- a/gateway/priority.go
+++ b/gateway/proxy/priority.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 // lowestPriority is the last rank that endpoints know.
 const lowestPriority = 9
--- a/gateway/gateway_test.go
+++ b/gateway/proxy/proxy_test.go
@@ -1,4 +1,4 @@
-package gateway_test
+package proxy_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	. "github.com/onsi/gomega"
 	"github.com/rcrowley/go-metrics"
 
-	"github.com/silverdeck/silverdeck/gateway"
+	"github.com/silverdeck/silverdeck/gateway/proxy"
 	"github.com/silverdeck/silverdeck/roster"
 	"github.com/silverdeck/silverdeck/routes"
 	"github.com/silverdeck/silverdeck/verdict"
@@ -62,8 +62,8 @@
 
 func TestWithoutAConfigurationRequestsAreRefusedForNow(t *testing.T) {
 	play(t, func(w *world) {
-		g := gateway.New(gateway.Config{Protocol: protocol, Log: log.New(io.Discard), Metrics: gateway.NewMetrics(metrics.NewRegistry())})
-		w.gateway = g
+		g := proxy.New(proxy.Config{Headers: names, Log: log.New(io.Discard), Metrics: proxy.NewMetrics(metrics.NewRegistry())})
+		w.proxy = g
 		a := w.ask("POST", "/unsafe/", "")
 		w.g.Expect(a.Code).To(Equal(503))
 		w.g.Expect(a.Header().Get("Retry-After")).To(Equal("1.000"))
@@ -74,9 +74,9 @@
 	play(t, func(w *world) {
 		newer := configuration()
 		newer.Version, newer.Revision = 2, 5
-		w.g.Expect(w.gateway.Use(newer)).To(BeTrue())
-		w.g.Expect(w.gateway.Use(configuration())).To(BeFalse())
-		w.g.Expect(w.gateway.Routes().Version).To(Equal(int64(2)))
+		w.g.Expect(w.proxy.Use(newer)).To(BeTrue())
+		w.g.Expect(w.proxy.Use(configuration())).To(BeFalse())
+		w.g.Expect(w.proxy.Routes().Version).To(Equal(int64(2)))
 	})
 }
 
@@ -194,11 +194,11 @@
 
 func TestMisdirectedRequestsCountAsArrivals(t *testing.T) {
 	g := NewWithT(t)
-	b := gateway.NewBudget(0.2, 100, 10*time.Second, func() int { return 50 })
+	b := proxy.NewBudget(0.2, 100, 10*time.Second, func() int { return 50 })
 	now := time.Now()
 	b.Request("s", now)
-	g.Expect(b.Repeat("s", gateway.Retry, now)).To(BeTrue())
-	g.Expect(b.Repeat("s", gateway.Retry, now)).To(BeFalse())
+	g.Expect(b.Repeat("s", proxy.Retry, now)).To(BeTrue())
+	g.Expect(b.Repeat("s", proxy.Retry, now)).To(BeFalse())
 	other := misdirected(400)
 	play(t, func(w *world) {
 		for range 200 {
@@ -223,13 +223,13 @@
 
 func TestRetriesLeaveBudgetForAnswersThatHaveBegun(t *testing.T) {
 	g := NewWithT(t)
-	b := gateway.NewBudget(0.2, 100, 10*time.Second, func() int { return 1 })
+	b := proxy.NewBudget(0.2, 100, 10*time.Second, func() int { return 1 })
 	now := time.Now()
 	retries, resumes := 0, 0
-	for b.Repeat("s", gateway.Retry, now) {
+	for b.Repeat("s", proxy.Retry, now) {
 		retries++
 	}
-	for b.Repeat("s", gateway.Resume, now) {
+	for b.Repeat("s", proxy.Resume, now) {
 		resumes++
 	}
 	g.Expect(resumes).To(BeNumerically(">=", 30))
@@ -238,17 +238,17 @@
 
 func TestAnEntryThatKnowsNoOthersUsesNoMoreThanItsShare(t *testing.T) {
 	g := NewWithT(t)
-	b := gateway.NewBudget(0.2, 100, 10*time.Second, func() int { return 0 })
+	b := proxy.NewBudget(0.2, 100, 10*time.Second, func() int { return 0 })
 	now := time.Now()
 	for range 100 {
 		b.Request("s", now)
 	}
 	repeats := 0
-	for b.Repeat("s", gateway.Resume, now) {
+	for b.Repeat("s", proxy.Resume, now) {
 		repeats++
 	}
 	g.Expect(repeats).To(BeNumerically("<=", 20))
-	g.Expect(b.Repeat("s", gateway.Resume, now.Add(11*time.Second))).To(BeFalse(), "the window has passed")
+	g.Expect(b.Repeat("s", proxy.Resume, now.Add(11*time.Second))).To(BeFalse(), "the window has passed")
 }
 
 func TestAStreamIsPassedOnAndItsConnectionKept(t *testing.T) {
@@ -437,7 +437,7 @@
 
 func TestALeavingEntryEndsItsConnections(t *testing.T) {
 	play(t, func(w *world) {
-		w.gateway.Leave()
+		w.proxy.Leave()
 		a := w.ask("POST", "/unsafe/", "x")
 		w.g.Expect(a.Code).To(Equal(200))
 		w.g.Expect(a.Header().Get("Connection")).To(Equal("close"))
@@ -457,7 +457,7 @@
 		config.Revision, config.Version = 2, 2
 		// A request ends every 600 ms, so none may wait behind the two that run.
 		config.Services["s"].Engine = &routes.Engine{Slots: 2, Step: 60 * time.Millisecond, Stride: 1, UsualAnswer: 20}
-		w.gateway.Use(config)
+		w.proxy.Use(config)
 		for range 2 {
 			go w.ask("POST", "/stream/", "x")
 		}
--- a/gateway/room.go
+++ b/gateway/proxy/room.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"math"
--- a/gateway/stream.go
+++ b/gateway/proxy/stream.go
@@ -1,4 +1,4 @@
-package gateway
+package proxy
 
 import (
 	"bytes"
@@ -9,8 +9,8 @@
 	"os"
 	"time"
 
-	"github.com/silverdeck/silverdeck/balance"
-	"github.com/silverdeck/silverdeck/upstream"
+	"github.com/silverdeck/silverdeck/gateway/balance"
+	"github.com/silverdeck/silverdeck/gateway/upstream"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
@@ -30,21 +30,21 @@
 )
 
 // stream passes a stream of events on as they come.
-func (g *Gateway) stream(ctx context.Context, w http.ResponseWriter, j *job, x *upstream.Exchange, lease *balance.Lease) (*verdict.Error, balance.Outcome) {
+func (p *Proxy) stream(ctx context.Context, w http.ResponseWriter, j *job, x *upstream.Exchange, lease *balance.Lease) (*verdict.Error, balance.Outcome) {
 	out := http.NewResponseController(w)
 	_ = out.SetWriteDeadline(j.endsAt.Add(writeSlack))
 	var events eventReader
 	events.limit = maxEvent
-	giveUp := g.giveUp(j, lease)
+	giveUp := p.giveUp(j, lease)
 	for {
 		if err := x.Await(giveUp); err != nil {
-			return g.streamFailure(ctx, err), balance.Failed
+			return p.streamFailure(ctx, err), balance.Failed
 		}
 		whole, err := events.next(x)
 		lease.Heard(time.Now())
 		if len(whole) > 0 {
 			lease.Begun()
-			if failure := g.passEvents(w, out, j, x, whole); failure != nil {
+			if failure := p.passEvents(w, out, j, x, whole); failure != nil {
 				return failure, balance.Neutral
 			}
 		}
@@ -52,11 +52,11 @@
 			if rest := events.rest(); len(rest) > 0 {
 				return verdict.NewError(verdict.Ran, verdict.CodeCut, "the stream ended inside an event"), balance.Failed
 			}
-			g.beginAnswer(w, j, x)
+			p.beginAnswer(w, j, x)
 			return nil, balance.Served
 		}
 		if err != nil {
-			return g.streamFailure(ctx, err), streamOutcome(ctx, err)
+			return p.streamFailure(ctx, err), streamOutcome(ctx, err)
 		}
 	}
 }
@@ -65,12 +65,12 @@
 const writeSlack = 100 * time.Millisecond
 
 // passEvents writes whole events to the caller.
-func (g *Gateway) passEvents(w http.ResponseWriter, out *http.ResponseController, j *job, x *upstream.Exchange, whole []byte) *verdict.Error {
+func (p *Proxy) passEvents(w http.ResponseWriter, out *http.ResponseController, j *job, x *upstream.Exchange, whole []byte) *verdict.Error {
 	j.noteEvent(time.Now())
 	if !j.begun {
-		g.cfg.Metrics.FirstEvent.Update(j.firstEvent.Microseconds())
+		p.cfg.Metrics.FirstEvent.Update(j.firstEvent.Microseconds())
 	}
-	g.beginAnswer(w, j, x)
+	p.beginAnswer(w, j, x)
 	if id := lastEventID(whole); id != "" {
 		j.lastEvent = id
 	}
@@ -94,7 +94,7 @@
 }
 
 // beginAnswer sends the head of the answer, once.
-func (g *Gateway) beginAnswer(w http.ResponseWriter, j *job, x *upstream.Exchange) {
+func (p *Proxy) beginAnswer(w http.ResponseWriter, j *job, x *upstream.Exchange) {
 	if j.begun {
 		return
 	}
@@ -103,7 +103,7 @@
 	w.WriteHeader(x.Status)
 }
 
-func (g *Gateway) streamFailure(ctx context.Context, err error) *verdict.Error {
+func (p *Proxy) streamFailure(ctx context.Context, err error) *verdict.Error {
 	if ctx.Err() != nil {
 		err = context.Cause(ctx)
 	}
--- a/gateway/world_test.go
+++ b/gateway/proxy/world_test.go
@@ -1,4 +1,4 @@
-package gateway_test
+package proxy_test
 
 import (
 	"bufio"
@@ -20,16 +20,17 @@
 	. "github.com/onsi/gomega"
 	"github.com/rcrowley/go-metrics"
 
-	"github.com/silverdeck/silverdeck/balance"
-	"github.com/silverdeck/silverdeck/gateway"
+	"github.com/silverdeck/silverdeck/gateway/balance"
+	"github.com/silverdeck/silverdeck/gateway/header"
+	"github.com/silverdeck/silverdeck/gateway/proxy"
+	"github.com/silverdeck/silverdeck/gateway/upstream"
 	"github.com/silverdeck/silverdeck/roster"
 	"github.com/silverdeck/silverdeck/routes"
-	"github.com/silverdeck/silverdeck/upstream"
 	"github.com/silverdeck/silverdeck/wait"
 )
 
-// protocol has names of this test's own.
-var protocol = gateway.Protocol{
+// names are headers of this test's own.
+var names = header.Names{
 	RequestID: "Id", Deadline: "Deadline", Key: "Key", Account: "Account", Instance: "Instance",
 	Priority: "Priority", Version: "Version", Model: "Model", Tokens: "Tokens", Stamp: "Stamp",
 	NotRun: "Not-Run", LastEvent: "Last-Event", RetryAfter: "Retry-After",
@@ -50,7 +51,7 @@
 // world is a gateway before endpoints e0, e1 and so on, on virtual time.
 type world struct {
 	g         *WithT
-	gateway   *gateway.Gateway
+	proxy     *proxy.Proxy
 	balancer  *balance.Balancer
 	endpoints map[string]*endpoint
 	down      map[string]bool
@@ -75,13 +76,13 @@
 		w.balancer.Update(list)
 		w.balancer.Own(map[string]bool{"e0": true})
 		w.client = upstream.NewClient(upstream.WithDialer(w))
-		w.gateway = gateway.New(gateway.Config{
-			Protocol: protocol, Balancer: w.balancer, Client: w.client,
-			Budget:  gateway.NewBudget(0.2, 100, 10*time.Second, func() int { return 1 }),
-			Metrics: gateway.NewMetrics(metrics.NewRegistry()), Log: log.New(io.Discard),
+		w.proxy = proxy.New(proxy.Config{
+			Headers: names, Balancer: w.balancer, Client: w.client,
+			Budget:  proxy.NewBudget(0.2, 100, 10*time.Second, func() int { return 1 }),
+			Metrics: proxy.NewMetrics(metrics.NewRegistry()), Log: log.New(io.Discard),
 			Floor: func(string) int64 { return w.floor.Load() }, Random: func() float64 { return float64(w.draw.Load()) / 1000 },
 		})
-		w.gateway.Use(configuration())
+		w.proxy.Use(configuration())
 		ctx, cancel := context.WithCancel(context.Background())
 		go w.touch(ctx)
 		f(w)
@@ -206,7 +207,7 @@
 		}
 		a.took = time.Since(began)
 	}()
-	w.gateway.ServeHTTP(a, r)
+	w.proxy.ServeHTTP(a, r)
 	return a
 }
 
--- a/edge/replicas_test.go
+++ b/gateway/replicas_test.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"bytes"
@@ -18,18 +18,18 @@
 	"github.com/silverdeck/silverdeck/inventory"
 	"github.com/silverdeck/silverdeck/member"
 	"github.com/silverdeck/silverdeck/mirror"
-	"github.com/silverdeck/silverdeck/peer"
+	"github.com/silverdeck/silverdeck/peerconn"
 	"github.com/silverdeck/silverdeck/platform"
-	"github.com/silverdeck/silverdeck/settings"
+	"github.com/silverdeck/silverdeck/telemetry"
 )
 
-// newEdge returns an entry that is not started.
-func newEdge(name string) *Edge {
-	site := &settings.Site{
-		Identity: settings.Identity{VM: name, Zone: "a"}, Regions: map[string]string{"a": "east"},
+// newGateway returns an entry that is not started.
+func newGateway(name string) *Gateway {
+	cfg := &platform.Settings{
+		Identity: telemetry.Identity{VM: name, Zone: "a"}, Regions: map[string]string{"a": "east"},
 		Peer: name + ":1", PeerPort: 1, Store: "127.0.0.1:9", DrainLimit: 2 * time.Second,
 	}
-	return New(site, log.New(io.Discard), metrics.NewRegistry())
+	return New(cfg, log.New(io.Discard), metrics.NewRegistry())
 }
 
 // object is an object as the store sends it.
@@ -39,14 +39,14 @@
 }
 
 // give puts objects into e's copy of kind at revision.
-func give(e *Edge, kind string, revision int64, objects ...mirror.Object) {
+func give(g *Gateway, kind string, revision int64, objects ...mirror.Object) {
 	names := []string{}
 	for _, o := range objects {
 		names = append(names, o.Name)
 	}
 	d := &mirror.Delta{Version: mirror.Version{Revision: revision}, Names: names, Objects: objects}
 	s, _ := (&mirror.State{}).Apply(d)
-	e.mirrors[kind].Take(s)
+	g.mirrors[kind].Take(s)
 }
 
 const (
@@ -59,8 +59,8 @@
 }
 
 // serving returns the address of a server for e's copies.
-func serving(t *testing.T, e *Edge) string {
-	handler, err := peer.NewRPCHandler(map[string]any{syncService: newSync(e.mirrors)})
+func serving(t *testing.T, g *Gateway) string {
+	handler, err := peerconn.NewRPCHandler(map[string]any{syncService: newSync(g.mirrors)})
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	s := httptest.NewServer(handler)
 	t.Cleanup(s.Close)
@@ -69,7 +69,7 @@
 
 func TestAnEntryCopiesFromAnotherWhatItLacks(t *testing.T) {
 	g := NewWithT(t)
-	one, other := newEdge("one"), newEdge("other")
+	one, other := newGateway("one"), newGateway("other")
 	give(one, platform.KindEndpoints, 5, endpoint(1, 4), endpoint(2, 5))
 	give(other, platform.KindEndpoints, 9, endpoint(2, 5), endpoint(3, 9))
 	m := one.mirrors[platform.KindEndpoints]
@@ -81,7 +81,7 @@
 
 func TestLargeObjectsTravelCompressedAndArriveAsTheyWere(t *testing.T) {
 	g := NewWithT(t)
-	one, other := newEdge("one"), newEdge("other")
+	one, other := newGateway("one"), newGateway("other")
 	large := object(platform.ConfigName, 4, `{"version":3,"tenants":[`+strings.Repeat(`{"name":"x","api_keys":[]},`, 2000)+`{"name":"y"}]}`)
 	give(other, platform.KindConfig, 4, large)
 	var reply StateReply
@@ -90,28 +90,28 @@
 	one.replicas.take(context.Background(), platform.KindConfig, one.mirrors[platform.KindConfig], serving(t, other))
 	got := one.mirrors[platform.KindConfig].State().Objects[platform.ConfigName]
 	g.Expect(bytes.Equal(got.Data, large.Data)).To(BeTrue())
-	g.Expect(one.gateway.Routes().Version).To(Equal(int64(3)))
+	g.Expect(one.proxy.Routes().Version).To(Equal(int64(3)))
 }
 
 func TestAnEntryWithoutACopyGivesNone(t *testing.T) {
 	g := NewWithT(t)
 	var reply StateReply
-	s := newSync(newEdge("one").mirrors)
+	s := newSync(newGateway("one").mirrors)
 	g.Expect(s.State(StateRequest{Kind: platform.KindConfig}, &reply)).To(MatchError(errNoCopy))
 	g.Expect(s.State(StateRequest{Kind: "other"}, &reply)).To(MatchError(errUnknownKind))
 }
 
 // hear makes e hear a heartbeat.
-func hear(e *Edge, name string, sequence uint64, set func(*member.Heartbeat)) {
+func hear(g *Gateway, name string, sequence uint64, set func(*member.Heartbeat)) {
 	b := member.Heartbeat{Entry: member.Entry{Name: name, Zone: "a", Peer: name + ":1"}, Sequence: sequence, Ready: true}
 	set(&b)
-	e.table.Hear(b, time.Now())
+	g.table.Hear(b, time.Now())
 }
 
 func TestOneThatWatchesWaitsForItsOwnAnswerAndOthersDoNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		e := newEdge("m")
+		e := newGateway("m")
 		r := e.replicas
 		r.elect(time.Now())
 		g.Expect(r.due("k", true, time.Now())).To(BeTrue(), "it has not settled, so it does not watch")
@@ -133,7 +133,7 @@
 func TestAnEntryThatGetsNoFirstCopyAsksTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		e := newEdge("m")
+		e := newGateway("m")
 		hear(e, "a", 1, func(*member.Heartbeat) {})
 		hear(e, "b", 1, func(*member.Heartbeat) {})
 		time.Sleep(settleTime)
@@ -150,7 +150,7 @@
 func TestEndpointsAreKeptWhenNoneThatWatchesReachesTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		e := newEdge("m")
+		e := newGateway("m")
 		watch := func(away bool) func(*member.Heartbeat) {
 			return func(b *member.Heartbeat) { b.Watching, b.Away = true, away }
 		}
@@ -175,7 +175,7 @@
 func TestAnInventoryIsToldOnceThereIsNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		e := newEdge("m")
+		e := newGateway("m")
 		q := inventory.Query{Service: "llm", Wait: time.Second}
 		var inv inventory.Inventory
 		began := time.Now()
--- a/edge/serve.go
+++ b/gateway/serve.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"math/rand/v2"
@@ -8,44 +8,44 @@
 
 	"github.com/gin-gonic/gin"
 
-	"github.com/silverdeck/silverdeck/directory"
+	"github.com/silverdeck/silverdeck/gateway/directory"
 	"github.com/silverdeck/silverdeck/inventory"
 	"github.com/silverdeck/silverdeck/platform"
 	"github.com/silverdeck/silverdeck/telemetry"
 )
 
-func (e *Edge) listen() error {
-	peers, err := servePeers(e.site.Peer, map[string]any{syncService: newSync(e.mirrors), inventory.Service: e.inventory})
+func (g *Gateway) listen() error {
+	peers, err := servePeers(g.cfg.Peer, map[string]any{syncService: newSync(g.mirrors), inventory.Service: g.inventory})
 	if err != nil {
 		return err
 	}
-	e.side = append(e.side, peers)
-	e.callers = &http.Server{
-		Handler:           e.gateway,
+	g.side = append(g.side, peers)
+	g.callers = &http.Server{
+		Handler:           g.proxy,
 		ReadHeaderTimeout: headerLimit,
 		IdleTimeout:       idleLimit,
 		MaxHeaderBytes:    headerBytes,
-		ErrorLog:          e.log.StandardLog(),
+		ErrorLog:          g.log.StandardLog(),
 	}
-	if err := serve(e.callers, e.site.Callers); err != nil {
+	if err := serve(g.callers, g.cfg.Callers); err != nil {
 		return err
 	}
 	gin.SetMode(gin.ReleaseMode)
-	if err := e.serveSide(e.site.Ready, e.readyHandler()); err != nil {
+	if err := g.serveSide(g.cfg.Ready, g.readyHandler()); err != nil {
 		return err
 	}
-	if err := e.serveSide(e.site.Directory, e.directoryHandler()); err != nil {
+	if err := g.serveSide(g.cfg.Directory, g.directoryHandler()); err != nil {
 		return err
 	}
-	return e.serveSide(e.site.Observe, telemetry.NewObserveHandler(e.registry, e))
+	return g.serveSide(g.cfg.Observe, telemetry.NewObserveHandler(g.registry, g))
 }
 
-func (e *Edge) serveSide(addr string, h http.Handler) error {
+func (g *Gateway) serveSide(addr string, h http.Handler) error {
 	if addr == "" {
 		return nil
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: headerLimit, IdleTimeout: idleLimit}
-	e.side = append(e.side, s)
+	g.side = append(g.side, s)
 	return serve(s, addr)
 }
 
@@ -58,10 +58,10 @@
 	return nil
 }
 
-func (e *Edge) readyHandler() http.Handler {
+func (g *Gateway) readyHandler() http.Handler {
 	router := gin.New()
 	router.GET(platform.ReadyPath, func(c *gin.Context) {
-		if err := e.Ready(); err != nil {
+		if err := g.Ready(); err != nil {
 			c.String(http.StatusServiceUnavailable, err.Error())
 			return
 		}
@@ -70,27 +70,27 @@
 	return router
 }
 
-func (e *Edge) directoryHandler() http.Handler {
+func (g *Gateway) directoryHandler() http.Handler {
 	router := gin.New()
 	router.GET(platform.ResolvePath, func(c *gin.Context) {
 		q := platform.ParseResolve(c.Request)
-		live := e.table.Live()
-		if e.Ready() == nil {
-			live = append(live, e.self)
+		live := g.table.Live()
+		if g.Ready() == nil {
+			live = append(live, g.self)
 		}
 		addresses := directory.Addresses(live, q.Zone, q.Region, rand.IntN(turns))
 		if len(addresses) == 0 {
 			c.String(http.StatusServiceUnavailable, "no entry is ready")
 			return
 		}
-		c.JSON(http.StatusOK, platform.NewResolveAnswer(addresses, e.ttl()))
+		c.JSON(http.StatusOK, platform.NewResolveAnswer(addresses, g.ttl()))
 	})
 	return router
 }
 
-func (e *Edge) ttl() time.Duration {
-	if e.site.AddressTTL > 0 {
-		return min(addressTTL, e.site.AddressTTL)
+func (g *Gateway) ttl() time.Duration {
+	if g.cfg.AddressTTL > 0 {
+		return min(addressTTL, g.cfg.AddressTTL)
 	}
 	return addressTTL
 }
--- a/edge/sync.go
+++ b/gateway/sync.go
@@ -1,4 +1,4 @@
-package edge
+package gateway
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"sync"
 
 	"github.com/silverdeck/silverdeck/mirror"
-	"github.com/silverdeck/silverdeck/peer"
+	"github.com/silverdeck/silverdeck/peerconn"
 )
 
 // Sync gives other entries this one's copies of the store, by net/rpc.
@@ -45,11 +45,11 @@
 // Errors of copies.
 var (
 	// errUnknownKind answers a request for objects that are not copied.
-	errUnknownKind = errors.New("edge: unknown kind")
+	errUnknownKind = errors.New("gateway: unknown kind")
 	// errNoCopy answers a request for a copy that is not there yet.
-	errNoCopy = errors.New("edge: no copy yet")
+	errNoCopy = errors.New("gateway: no copy yet")
 	// errNotWhole tells that a copy does not hold what its digest says.
-	errNotWhole = errors.New("edge: copy not whole")
+	errNotWhole = errors.New("gateway: copy not whole")
 )
 
 // State gives the copy of a kind.
@@ -125,12 +125,12 @@
 
 // servePeers takes calls of other processes of ours at addr.
 func servePeers(addr string, services map[string]any) (*http.Server, error) {
-	handler, err := peer.NewRPCHandler(services)
+	handler, err := peerconn.NewRPCHandler(services)
 	if err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
-	mux.Handle(peer.RPCPath, handler)
+	mux.Handle(peerconn.RPCPath, handler)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerLimit}
 	return server, serve(server, addr)
 }
--- a/peer/client.go
+++ b/peerconn/client.go
@@ -1,4 +1,7 @@
-package peer
+// Package peerconn carries calls between silverdeck's own processes, by net/rpc over
+// HTTP on the processes' peer ports. It owns the connections that a process keeps
+// to others; each call ends with its context.
+package peerconn
 
 import (
 	"bufio"
@@ -144,7 +147,7 @@
 		return err
 	}
 	if resp.Status != connected {
-		return fmt.Errorf("peer: unexpected answer %q", resp.Status)
+		return fmt.Errorf("peerconn: unexpected answer %q", resp.Status)
 	}
 	return nil
 }
--- a/peer/server.go
+++ b/peerconn/server.go
@@ -1,4 +1,4 @@
-package peer
+package peerconn
 
 import (
 	"net/http"
--- a/sidecar/fleet.go
+++ b/sidecar/fleet.go
@@ -11,9 +11,8 @@
 	"github.com/charmbracelet/log"
 
 	"github.com/silverdeck/silverdeck/inventory"
-	"github.com/silverdeck/silverdeck/peer"
+	"github.com/silverdeck/silverdeck/peerconn"
 	"github.com/silverdeck/silverdeck/platform"
-	"github.com/silverdeck/silverdeck/settings"
 	"github.com/silverdeck/silverdeck/wait"
 )
 
@@ -34,9 +33,9 @@
 // fleet keeps what this process needs of the platform's store. Entries tell it;
 // the store is read only while none of them answers. It is safe for concurrent use.
 type fleet struct {
-	site  *settings.Site
+	cfg   *platform.Settings
 	store *platform.Store
-	pool  *peer.Pool
+	pool  *peerconn.Pool
 	log   *log.Logger
 	// use is called with each new reply, one call at a time.
 	use func(*inventory.Inventory)
@@ -47,8 +46,8 @@
 	avoided map[string]time.Time
 }
 
-func newFleet(site *settings.Site, store *platform.Store, pool *peer.Pool, l *log.Logger, use func(*inventory.Inventory)) *fleet {
-	return &fleet{site: site, store: store, pool: pool, log: l, use: use, avoided: map[string]time.Time{}}
+func newFleet(cfg *platform.Settings, store *platform.Store, pool *peerconn.Pool, l *log.Logger, use func(*inventory.Inventory)) *fleet {
+	return &fleet{cfg: cfg, store: store, pool: pool, log: l, use: use, avoided: map[string]time.Time{}}
 }
 
 // known returns the last reply, or nil.
@@ -104,7 +103,7 @@
 	if addr == "" {
 		return nil, errNoEntry
 	}
-	q := inventory.Query{Service: f.site.Service, Wait: askWait}
+	q := inventory.Query{Service: f.cfg.Service, Wait: askWait}
 	if last := f.known(); last != nil {
 		q.Known = last.Digest
 	}
@@ -137,7 +136,7 @@
 	for _, p := range f.places {
 		switch {
 		case now.Before(f.avoided[p.Addr]):
-		case p.Zone == f.site.Zone:
+		case p.Zone == f.cfg.Zone:
 			near = append(near, p.Addr)
 		default:
 			far = append(far, p.Addr)
@@ -222,7 +221,7 @@
 		if err != nil {
 			return err
 		}
-		inv.UseConfig(config, f.site.Service)
+		inv.UseConfig(config, f.cfg.Service)
 		return nil
 	}
 	return errNoConfig
@@ -253,8 +252,8 @@
 		if err != nil {
 			return err
 		}
-		if e.Service == f.site.Service {
-			inv.AddEndpoint(e, f.site.PeerPort, f.site.Regions)
+		if e.Service == f.cfg.Service {
+			inv.AddEndpoint(e, f.cfg.PeerPort, f.cfg.Regions)
 		}
 	}
 	return nil
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -16,10 +16,9 @@
 	"github.com/silverdeck/silverdeck/exchange"
 	"github.com/silverdeck/silverdeck/inventory"
 	"github.com/silverdeck/silverdeck/member"
-	"github.com/silverdeck/silverdeck/peer"
+	"github.com/silverdeck/silverdeck/peerconn"
 	"github.com/silverdeck/silverdeck/platform"
-	"github.com/silverdeck/silverdeck/settings"
-	"github.com/silverdeck/silverdeck/stage"
+	"github.com/silverdeck/silverdeck/sidecar/stage"
 	"github.com/silverdeck/silverdeck/swarm"
 	"github.com/silverdeck/silverdeck/telemetry"
 )
@@ -41,7 +40,7 @@
 
 // Sidecar is the process's state.
 type Sidecar struct {
-	site     *settings.Site
+	cfg      *platform.Settings
 	log      *log.Logger
 	registry metrics.Registry
 	fleet    *fleet
@@ -54,21 +53,21 @@
 }
 
 // New returns a Sidecar that is not started.
-func New(site *settings.Site, l *log.Logger, registry metrics.Registry) *Sidecar {
-	c := &Sidecar{site: site, log: l, registry: registry}
+func New(cfg *platform.Settings, l *log.Logger, registry metrics.Registry) *Sidecar {
+	c := &Sidecar{cfg: cfg, log: l, registry: registry}
 	dialer := &net.Dialer{Timeout: dialLimit}
 	client := &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: uploads}}
-	pool := peer.NewPool(dialer)
-	c.fleet = newFleet(site, platform.NewStore(site.Store), pool, l, c.useInventory)
+	pool := peerconn.NewPool(dialer)
+	c.fleet = newFleet(cfg, platform.NewStore(cfg.Store), pool, l, c.useInventory)
 	c.stager = stage.New(stage.Config{
-		Self:     swarm.Member{VM: site.Peer, Addr: site.Peer, Zone: site.Zone, Region: site.Region},
-		Endpoint: platform.NewEndpoint(site.Endpoint),
+		Self:     swarm.Member{VM: cfg.Peer, Addr: cfg.Peer, Zone: cfg.Zone, Region: cfg.Region},
+		Endpoint: platform.NewEndpoint(cfg.Endpoint),
 		Origin:   platform.NewOrigin(c.origin),
 		Fleet:    c,
 		Peers:    exchange.NewClient(pool, client, "http"),
 		Asker:    stage.NewAsker(pool),
-		Limit:    site.VersionLimit,
-		LinkRate: site.LinkMbps * bytesPerMegabit,
+		Limit:    cfg.VersionLimit,
+		LinkRate: cfg.LinkMbps * bytesPerMegabit,
 		Log:      l,
 	})
 	return c
@@ -78,28 +77,28 @@
 func (c *Sidecar) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
-	conn, err := net.ListenPacket("udp4", c.site.Peer)
+	conn, err := net.ListenPacket("udp4", c.cfg.Peer)
 	if err != nil {
 		return err
 	}
 	c.notices = conn
-	ex := exchange.NewServer(c.stager.Holdings(), uploads, exchange.WithGather(gather), exchange.WithPace(paceShare*c.site.LinkMbps*bytesPerMegabit))
-	handler, err := peer.NewRPCHandler(map[string]any{exchange.Service: ex, stage.ManifestService: c.stager.Manifests()})
+	ex := exchange.NewServer(c.stager.Holdings(), uploads, exchange.WithGather(gather), exchange.WithPace(paceShare*c.cfg.LinkMbps*bytesPerMegabit))
+	handler, err := peerconn.NewRPCHandler(map[string]any{exchange.Service: ex, stage.ManifestService: c.stager.Manifests()})
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.Handle(peer.RPCPath, handler)
+	mux.Handle(peerconn.RPCPath, handler)
 	ex.Register(mux)
-	if err := c.serve(c.site.Peer, mux); err != nil {
+	if err := c.serve(c.cfg.Peer, mux); err != nil {
 		return err
 	}
-	if err := c.serve(c.site.Observe, telemetry.NewObserveHandler(c.registry, c)); err != nil {
+	if err := c.serve(c.cfg.Observe, telemetry.NewObserveHandler(c.registry, c)); err != nil {
 		return err
 	}
 	go c.fleet.run(ctx)
 	go c.stager.Run(ctx)
-	c.log.Info("started", "peer", c.site.Peer, "endpoint", c.site.Endpoint, "service", c.site.Service)
+	c.log.Info("started", "peer", c.cfg.Peer, "endpoint", c.cfg.Endpoint, "service", c.cfg.Service)
 	return nil
 }
 
@@ -140,7 +139,7 @@
 	if inv == nil {
 		return nil, errNoInventory
 	}
-	self := swarm.Member{VM: c.site.Peer, Addr: c.site.Peer, Zone: c.site.Zone, Region: c.site.Region}
+	self := swarm.Member{VM: c.cfg.Peer, Addr: c.cfg.Peer, Zone: c.cfg.Zone, Region: c.cfg.Region}
 	out := slices.Clone(inv.Members)
 	if !slices.ContainsFunc(out, func(m swarm.Member) bool { return m.VM == self.VM }) {
 		out = append(out, self)
@@ -150,12 +149,12 @@
 
 // Pause implements stage.Fleet.
 func (c *Sidecar) Pause(_ context.Context, d time.Duration) {
-	c.notify(member.Notice{Addr: c.site.Endpoint, PauseMS: d.Milliseconds()})
+	c.notify(member.Notice{Addr: c.cfg.Endpoint, PauseMS: d.Milliseconds()})
 }
 
 // Loaded implements stage.Fleet.
 func (c *Sidecar) Loaded(_ context.Context, model string, version int64) {
-	c.notify(member.Notice{Addr: c.site.Endpoint, Model: model, Version: version})
+	c.notify(member.Notice{Addr: c.cfg.Endpoint, Model: model, Version: version})
 }
 
 // notify sends n to all live entries.
--- a/stage/manifest.go
+++ b/sidecar/stage/manifest.go
@@ -11,7 +11,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/silverdeck/silverdeck/peer"
+	"github.com/silverdeck/silverdeck/exchange"
+	"github.com/silverdeck/silverdeck/peerconn"
 	"github.com/silverdeck/silverdeck/swarm"
 	"github.com/silverdeck/silverdeck/wait"
 	"github.com/silverdeck/silverdeck/weights"
@@ -51,7 +52,7 @@
 var errNoManifest = errors.New("stage: no such manifest here")
 
 // Manifest returns the manifest of a version.
-func (m *Manifests) Manifest(q VersionRequest, reply *peer.ManifestReply) error {
+func (m *Manifests) Manifest(q VersionRequest, reply *exchange.ManifestReply) error {
 	set := m.holdings.version(q.Model, q.Version)
 	if set == nil {
 		return errNoManifest
@@ -69,17 +70,17 @@
 
 // peerAsker is an Asker over net/rpc.
 type peerAsker struct {
-	pool *peer.Pool
+	pool *peerconn.Pool
 }
 
 // NewAsker returns an Asker that calls over pool.
-func NewAsker(pool *peer.Pool) Asker {
+func NewAsker(pool *peerconn.Pool) Asker {
 	return &peerAsker{pool: pool}
 }
 
 // Manifest implements Asker.
 func (a *peerAsker) Manifest(ctx context.Context, m swarm.Member, q VersionRequest) (*weights.Manifest, error) {
-	var reply peer.ManifestReply
+	var reply exchange.ManifestReply
 	if err := a.pool.Call(ctx, m.Addr, ManifestService+".Manifest", q, &reply); err != nil {
 		return nil, err
 	}
--- a/stage/stager_test.go
+++ b/sidecar/stage/stager_test.go
@@ -16,7 +16,7 @@
 	"github.com/charmbracelet/log"
 	. "github.com/onsi/gomega"
 
-	"github.com/silverdeck/silverdeck/stage"
+	"github.com/silverdeck/silverdeck/sidecar/stage"
 	"github.com/silverdeck/silverdeck/swarm"
 	"github.com/silverdeck/silverdeck/weights"
 )
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -19,7 +19,7 @@
 )
 
 // names are the platform's headers.
-var names = platform.Protocol()
+var names = platform.HeaderNames()
 
 // Result counts what callers saw.
 type Result struct {
--- a/standalone/agent/agent.go
+++ b/standalone/agent/agent.go
@@ -17,12 +17,13 @@
 	"github.com/silverdeck/silverdeck/drain"
 	"github.com/silverdeck/silverdeck/exchange"
 	"github.com/silverdeck/silverdeck/origin"
-	"github.com/silverdeck/silverdeck/peer"
-	"github.com/silverdeck/silverdeck/settings"
+	"github.com/silverdeck/silverdeck/peerconn"
 	"github.com/silverdeck/silverdeck/standalone/admission"
 	"github.com/silverdeck/silverdeck/standalone/engine"
 	"github.com/silverdeck/silverdeck/standalone/hop"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/standalone/secure"
+	"github.com/silverdeck/silverdeck/standalone/settings"
 	"github.com/silverdeck/silverdeck/swarm"
 	"github.com/silverdeck/silverdeck/telemetry"
 	"github.com/silverdeck/silverdeck/weights"
@@ -37,7 +38,7 @@
 	network  secure.Network
 	log      *log.Logger
 	registry metrics.Registry
-	pool     *peer.Pool
+	pool     *peerconn.Pool
 	holder   *holder
 	loader   *loader
 	reporter *reporter
@@ -60,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{cfg: cfg, network: network, log: l, registry: registry, pool: peer.NewPool(d), holder: newHolder(cfg.HoldBytes)}
+	a := &Agent{cfg: cfg, network: network, log: l, registry: registry, pool: peerconn.NewPool(d), holder: newHolder(cfg.HoldBytes)}
 	gate := admission.NewGate(admission.Config{Slots: cfg.Slots, UrgentSlots: cfg.UrgentSlots, Queue: cfg.Queue})
 	a.loader = &loader{
 		self:     swarm.Member{VM: cfg.VM, Addr: cfg.Peer, Zone: cfg.Zone, Region: cfg.Region},
@@ -99,12 +100,12 @@
 
 func (a *Agent) buildServers() error {
 	ex := exchange.NewServer(a.holder, a.cfg.UploadSlots)
-	rpcHandler, err := peer.NewRPCHandler(map[string]any{exchange.Service: ex})
+	rpcHandler, err := peerconn.NewRPCHandler(map[string]any{exchange.Service: ex})
 	if err != nil {
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.Handle(peer.RPCPath, rpcHandler)
+	mux.Handle(peerconn.RPCPath, rpcHandler)
 	mux.Handle(hop.RunPrefix+"/", a.runner)
 	ex.Register(mux)
 	a.server = secure.NewServer(mux)
--- a/standalone/agent/export_test.go
+++ b/standalone/agent/export_test.go
@@ -7,8 +7,8 @@
 	"github.com/charmbracelet/log"
 
 	"github.com/silverdeck/silverdeck/origin"
-	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/standalone/engine"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/swarm"
 	"github.com/silverdeck/silverdeck/weights"
 )
--- a/standalone/agent/fetch.go
+++ b/standalone/agent/fetch.go
@@ -9,7 +9,7 @@
 
 	"github.com/silverdeck/silverdeck/exchange"
 	"github.com/silverdeck/silverdeck/origin"
-	"github.com/silverdeck/silverdeck/peer"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/swarm"
 	"github.com/silverdeck/silverdeck/wait"
 	"github.com/silverdeck/silverdeck/weights"
--- a/standalone/agent/load.go
+++ b/standalone/agent/load.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/silverdeck/silverdeck/exchange"
-	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/standalone/engine"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 )
 
 // load has the engine load the verified weights of t.
--- a/standalone/agent/loader_test.go
+++ b/standalone/agent/loader_test.go
@@ -12,9 +12,9 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/silverdeck/silverdeck/origin"
-	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/standalone/agent"
 	"github.com/silverdeck/silverdeck/standalone/engine"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/swarm"
 	"github.com/silverdeck/silverdeck/weights"
 )
--- a/standalone/agent/reporter.go
+++ b/standalone/agent/reporter.go
@@ -10,7 +10,8 @@
 
 	"github.com/charmbracelet/log"
 
-	"github.com/silverdeck/silverdeck/peer"
+	"github.com/silverdeck/silverdeck/peerconn"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 )
 
 // Timing of reports.
@@ -33,7 +34,7 @@
 // reporter tells the home entries what this endpoint is and does, and takes
 // their directives.
 type reporter struct {
-	pool  *peer.Pool
+	pool  *peerconn.Pool
 	seeds []string
 	fill  func(*peer.Report)
 	apply func(peer.Directive)
--- a/standalone/bench/burst/link.go
+++ b/standalone/bench/burst/link.go
@@ -118,7 +118,7 @@
 	control bool
 }
 
-// DialContext implements peer.Dialer.
+// DialContext implements peerconn.Dialer.
 func (d *dialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 	if err != nil {
--- a/standalone/bench/burst/node.go
+++ b/standalone/bench/burst/node.go
@@ -11,7 +11,7 @@
 
 	"github.com/silverdeck/silverdeck/exchange"
 	"github.com/silverdeck/silverdeck/origin"
-	"github.com/silverdeck/silverdeck/peer"
+	"github.com/silverdeck/silverdeck/peerconn"
 	"github.com/silverdeck/silverdeck/swarm"
 	"github.com/silverdeck/silverdeck/weights"
 )
@@ -28,7 +28,7 @@
 	server   *http.Server
 	client   *exchange.Client
 	http     *http.Client
-	pool     *peer.Pool
+	pool     *peerconn.Pool
 	ctx      context.Context
 	cancel   context.CancelFunc
 
@@ -57,18 +57,18 @@
 		return nil, err
 	}
 	n.member = swarm.Member{VM: name, Addr: l.Addr().String(), Zone: "a", Region: "r"}
-	n.pool = peer.NewPool(&dialer{link: n.link, control: true})
+	n.pool = peerconn.NewPool(&dialer{link: n.link, control: true})
 	n.http = &http.Client{Transport: &http.Transport{
 		DialContext: (&dialer{link: n.link}).DialContext, MaxIdleConnsPerHost: 2, DisableCompression: true,
 	}}
 	n.client = exchange.NewClient(n.pool, n.http, "http")
 	s := exchange.NewServer(n, uploadSlots)
-	rpc, err := peer.NewRPCHandler(map[string]any{exchange.Service: s})
+	rpc, err := peerconn.NewRPCHandler(map[string]any{exchange.Service: s})
 	if err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
-	mux.Handle(peer.RPCPath, rpc)
+	mux.Handle(peerconn.RPCPath, rpc)
 	s.Register(mux)
 	n.server = &http.Server{Handler: mux}
 	go func() { _ = n.server.Serve(&listener{Listener: l, link: n.link}) }()
--- a/standalone/bench/capacity/main.go
+++ b/standalone/bench/capacity/main.go
@@ -17,10 +17,10 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
-	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/standalone/fleet"
 	"github.com/silverdeck/silverdeck/standalone/object"
 	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/standalone/plan"
 	"github.com/silverdeck/silverdeck/standalone/router"
 	"github.com/silverdeck/silverdeck/standalone/snapshot"
--- a/standalone/dispatch/dispatch_test.go
+++ b/standalone/dispatch/dispatch_test.go
@@ -10,11 +10,11 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/silverdeck/silverdeck/casefile"
-	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/standalone/dispatch"
 	"github.com/silverdeck/silverdeck/standalone/fleet"
 	"github.com/silverdeck/silverdeck/standalone/forward"
 	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/standalone/plan"
 	"github.com/silverdeck/silverdeck/standalone/router"
 	"github.com/silverdeck/silverdeck/verdict"
--- a/standalone/entry/directive.go
+++ b/standalone/entry/directive.go
@@ -5,9 +5,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/standalone/fleet"
 	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/standalone/plan"
 )
 
--- a/standalone/entry/entry.go
+++ b/standalone/entry/entry.go
@@ -19,8 +19,7 @@
 	"github.com/silverdeck/silverdeck/drain"
 	"github.com/silverdeck/silverdeck/exchange"
 	"github.com/silverdeck/silverdeck/origin"
-	"github.com/silverdeck/silverdeck/peer"
-	"github.com/silverdeck/silverdeck/settings"
+	"github.com/silverdeck/silverdeck/peerconn"
 	"github.com/silverdeck/silverdeck/standalone/agent"
 	"github.com/silverdeck/silverdeck/standalone/caller"
 	"github.com/silverdeck/silverdeck/standalone/claim"
@@ -32,6 +31,7 @@
 	"github.com/silverdeck/silverdeck/standalone/operator"
 	"github.com/silverdeck/silverdeck/standalone/router"
 	"github.com/silverdeck/silverdeck/standalone/secure"
+	"github.com/silverdeck/silverdeck/standalone/settings"
 	"github.com/silverdeck/silverdeck/standalone/snapshot"
 	"github.com/silverdeck/silverdeck/standalone/ticket"
 	"github.com/silverdeck/silverdeck/telemetry"
@@ -66,7 +66,7 @@
 	committer *commit.Committer
 	forwarder *forward.Forwarder
 	router    *router.Router
-	pool      *peer.Pool
+	pool      *peerconn.Pool
 	events    *operator.Events
 	servers   []server
 	running   *drain.Tracker
@@ -106,7 +106,7 @@
 		origin:    origin.NewClient(cfg.Origin, plain.HTTPClient()),
 		holder:    snapshot.NewHolder(),
 		table:     fleet.NewTable(),
-		pool:      peer.NewPool(peers),
+		pool:      peerconn.NewPool(peers),
 		events:    operator.NewEvents(),
 		manifests: map[weights.Digest]*weights.Manifest{},
 		running:   drain.NewTracker(),
@@ -141,7 +141,7 @@
 		Registry:  e.registry,
 	})
 	counted := e.counted(callers)
-	rpcHandler, err := peer.NewRPCHandler(map[string]any{
+	rpcHandler, err := peerconn.NewRPCHandler(map[string]any{
 		agent.EntryService: &Service{entry: e},
 		exchange.Service:   &ManifestService{entry: e},
 	})
@@ -149,7 +149,7 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	mux.Handle(peer.RPCPath, rpcHandler)
+	mux.Handle(peerconn.RPCPath, rpcHandler)
 	mux.Handle(caller.RelayPrefix+"/", http.StripPrefix(caller.RelayPrefix, counted))
 	operators := operator.NewHandler(e, e.cfg.OperatorTokens, e.log)
 	e.servers = []server{
--- a/standalone/entry/operate.go
+++ b/standalone/entry/operate.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"time"
 
-	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/standalone/fleet"
 	"github.com/silverdeck/silverdeck/standalone/object"
 	"github.com/silverdeck/silverdeck/standalone/objectstore"
 	"github.com/silverdeck/silverdeck/standalone/operator"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/standalone/plan"
 	"github.com/silverdeck/silverdeck/standalone/snapshot"
 	"github.com/silverdeck/silverdeck/weights"
--- a/standalone/entry/service.go
+++ b/standalone/entry/service.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/silverdeck/silverdeck/exchange"
-	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/standalone/agent"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/weights"
 )
 
@@ -87,7 +87,7 @@
 }
 
 // Manifest returns the manifest of a rollout in force.
-func (s *ManifestService) Manifest(q peer.ManifestRequest, reply *peer.ManifestReply) error {
+func (s *ManifestService) Manifest(q exchange.ManifestRequest, reply *exchange.ManifestReply) error {
 	m, err := s.entry.manifest(q.Root)
 	if err != nil {
 		return err
--- a/standalone/entry/spread.go
+++ b/standalone/entry/spread.go
@@ -8,10 +8,11 @@
 
 	"github.com/charmbracelet/log"
 
-	"github.com/silverdeck/silverdeck/peer"
+	"github.com/silverdeck/silverdeck/peerconn"
 	"github.com/silverdeck/silverdeck/standalone/agent"
 	"github.com/silverdeck/silverdeck/standalone/fleet"
 	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/standalone/snapshot"
 )
 
@@ -31,7 +32,7 @@
 // Spec step: config.pml, "spread".
 type spreader struct {
 	self   string
-	pool   *peer.Pool
+	pool   *peerconn.Pool
 	holder *snapshot.Holder
 	list   *atomic.Pointer[objectstore.VMList]
 	take   func(*objectstore.VMList)
--- a/standalone/fleet/table.go
+++ b/standalone/fleet/table.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/silverdeck/silverdeck/peer"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 )
 
 // SuspectAfter is how long an endpoint may stay silent before its home entries
--- a/standalone/fleet/table_test.go
+++ b/standalone/fleet/table_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/standalone/fleet"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 )
 
 var began = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/standalone/forward/forward.go
+++ b/standalone/forward/forward.go
@@ -11,8 +11,8 @@
 
 	"go.opentelemetry.io/otel/attribute"
 
-	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/standalone/hop"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/telemetry"
 	"github.com/silverdeck/silverdeck/verdict"
 )
--- a/standalone/hop/header.go
+++ b/standalone/hop/header.go
@@ -13,8 +13,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
--- a/peer/message.go
+++ b/standalone/peer/message.go
@@ -1,5 +1,6 @@
-// Package peer carries the messages between silverdeck's own processes, over
-// net/rpc on the processes' peer port.
+// Package peer holds what entries and agents tell each other over net/rpc: reports
+// and directives, and the exchanges between entries. The names of types, of fields
+// and of this package are on the wire, since gob sends them.
 package peer
 
 import (
@@ -99,27 +100,6 @@
 	Incarnation uint64
 }
 
-// HaveRequest asks an agent for the chunks that it got after the first Since.
-type HaveRequest struct {
-	Root  weights.Digest
-	Since int
-}
-
-// HaveReply lists chunks in order of arrival.
-type HaveReply struct {
-	Chunks []int
-}
-
-// ManifestRequest asks an agent for a manifest.
-type ManifestRequest struct {
-	Root weights.Digest
-}
-
-// ManifestReply has the manifest as JSON, or nothing.
-type ManifestReply struct {
-	Manifest []byte
-}
-
 // EndpointRecord is what entries tell each other about an endpoint.
 type EndpointRecord struct {
 	VM, Addr, Zone, Region string
--- a/standalone/router/router.go
+++ b/standalone/router/router.go
@@ -11,9 +11,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/standalone/fleet"
 	"github.com/silverdeck/silverdeck/standalone/object"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/standalone/plan"
 	"github.com/silverdeck/silverdeck/verdict"
 )
--- a/standalone/router/router_test.go
+++ b/standalone/router/router_test.go
@@ -8,10 +8,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/silverdeck/silverdeck/peer"
 	"github.com/silverdeck/silverdeck/standalone/fleet"
 	"github.com/silverdeck/silverdeck/standalone/object"
 	"github.com/silverdeck/silverdeck/standalone/objectstore"
+	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/standalone/plan"
 	"github.com/silverdeck/silverdeck/standalone/router"
 	"github.com/silverdeck/silverdeck/verdict"
--- a/standalone/secure/secure.go
+++ b/standalone/secure/secure.go
@@ -13,7 +13,7 @@
 	"os"
 	"time"
 
-	"github.com/silverdeck/silverdeck/settings"
+	"github.com/silverdeck/silverdeck/standalone/settings"
 )
 
 // Limits on connections.
--- a/standalone/secure/secure_test.go
+++ b/standalone/secure/secure_test.go
@@ -19,8 +19,8 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silverdeck/silverdeck/settings"
 	"github.com/silverdeck/silverdeck/standalone/secure"
+	"github.com/silverdeck/silverdeck/standalone/settings"
 )
 
 // authority makes certificates for 127.0.0.1.
--- a/standalone/session/world_test.go
+++ b/standalone/session/world_test.go
@@ -21,13 +21,13 @@
 	"github.com/rcrowley/go-metrics"
 	"github.com/zeebo/blake3"
 
-	"github.com/silverdeck/silverdeck/settings"
 	"github.com/silverdeck/silverdeck/standalone/agent"
 	"github.com/silverdeck/silverdeck/standalone/entry"
 	"github.com/silverdeck/silverdeck/standalone/object"
 	"github.com/silverdeck/silverdeck/standalone/objectstore"
 	"github.com/silverdeck/silverdeck/standalone/operator"
 	"github.com/silverdeck/silverdeck/standalone/secure"
+	"github.com/silverdeck/silverdeck/standalone/settings"
 	"github.com/silverdeck/silverdeck/standalone/snapshot"
 	"github.com/silverdeck/silverdeck/standalone/standin"
 	"github.com/silverdeck/silverdeck/telemetry"
@@ -149,7 +149,7 @@
 func (w *world) addEntry(i int) {
 	ip := fmt.Sprintf("10.1.0.%d", i+1)
 	cfg := settings.DefaultEntry()
-	cfg.Identity = settings.Identity{VM: fmt.Sprintf("entry-%d", i), Zone: zone(i), Region: "east"}
+	cfg.Identity = telemetry.Identity{VM: fmt.Sprintf("entry-%d", i), Zone: zone(i), Region: "east"}
 	cfg.Caller, cfg.Operator, cfg.Peer = ip+":7000", ip+":7001", ip+":7002"
 	cfg.Telemetry.Observe = ip + ":7003"
 	cfg.Platform, cfg.Origin = []string{"http://" + platformAddr}, "http://"+originAddr
@@ -191,7 +191,7 @@
 
 func (w *world) addAgent(name, ip string, role objectstore.Role, zone string) {
 	cfg := settings.DefaultAgent()
-	cfg.Identity = settings.Identity{VM: name, Zone: zone, Region: "east"}
+	cfg.Identity = telemetry.Identity{VM: name, Zone: zone, Region: "east"}
 	cfg.Peer, cfg.Engine, cfg.Telemetry.Observe = ip+":7000", "http://"+ip+":8000", ip+":7001"
 	cfg.Entries, cfg.Origin, cfg.Plain = seeds(2), "http://"+originAddr, role == objectstore.RolePlain
 	w.vms = append(w.vms, objectstore.VM{Name: name, Addr: cfg.Peer, Role: role, Zone: zone, Region: "east"})
@@ -227,7 +227,7 @@
 	_ = e.Stop(ctx)
 }
 
-func (w *world) logger(id settings.Identity) *log.Logger {
+func (w *world) logger(id telemetry.Identity) *log.Logger {
 	return telemetry.NewLogger(w.log, "info", id)
 }
 
--- a/settings/agent.go
+++ b/standalone/settings/agent.go
@@ -3,11 +3,13 @@
 import (
 	"fmt"
 	"net/url"
+
+	"github.com/silverdeck/silverdeck/telemetry"
 )
 
 // Agent holds the settings of silverdeck-agent.
 type Agent struct {
-	Identity
+	telemetry.Identity
 	// Peer is where entries and other agents connect, and the endpoint for weights.
 	Peer string `json:"peer"`
 	// Engine is the base URL of the model engine or plain service on this VM.
@@ -32,9 +34,9 @@
 	// UploadSlots is how many chunks are sent at once.
 	UploadSlots int `json:"uploadSlots"`
 	// StopSeconds is how long a planned stop waits for requests in progress.
-	StopSeconds int       `json:"stopSeconds"`
-	PeerTLS     TLS       `json:"peerTLS,omitzero"`
-	Telemetry   Telemetry `json:"telemetry"`
+	StopSeconds int                `json:"stopSeconds"`
+	PeerTLS     TLS                `json:"peerTLS,omitzero"`
+	Telemetry   telemetry.Settings `json:"telemetry"`
 }
 
 // DefaultAgent returns the settings that hold where the file says nothing.
@@ -47,7 +49,7 @@
 		HoldBytes:   32 << 30,
 		UploadSlots: 6,
 		StopSeconds: 600,
-		Telemetry:   Telemetry{LogLevel: "info"},
+		Telemetry:   telemetry.Settings{LogLevel: "info"},
 	}
 }
 
@@ -55,9 +57,9 @@
 func (s *Agent) Check() error {
 	addrs := map[string]string{"peer": s.Peer, "telemetry.observe": s.Telemetry.Observe}
 	return first(
-		s.check(),
+		checkIdentity(s.Identity),
 		checkAddr("peer", s.Peer),
-		s.Telemetry.check(),
+		checkTelemetry(s.Telemetry),
 		checkDistinct(addrs, []string{"peer", "telemetry.observe"}),
 		checkURL("engine", s.Engine),
 		checkAddrs("entries", s.Entries),
--- a/settings/common.go
+++ b/standalone/settings/common.go
@@ -1,14 +1,8 @@
 package settings
 
-// Identity is what a process learns of its place from its settings.
-type Identity struct {
-	// VM is the name of the VM in the platform's list.
-	VM     string `json:"vm"`
-	Zone   string `json:"zone"`
-	Region string `json:"region"`
-}
+import "github.com/silverdeck/silverdeck/telemetry"
 
-func (i Identity) check() error {
+func checkIdentity(i telemetry.Identity) error {
 	return first(
 		checkText("vm", i.VM),
 		checkText("zone", i.Zone),
@@ -45,19 +39,7 @@
 	return nil
 }
 
-// Telemetry says where logs, traces and metrics go.
-type Telemetry struct {
-	// Observe is the address of metrics, health and the state dump.
-	Observe string `json:"observe"`
-	// LogLevel is debug, info, warn or error.
-	LogLevel string `json:"logLevel"`
-	// TraceFile takes spans as JSON lines; empty means none.
-	TraceFile string `json:"traceFile,omitempty"`
-	// TraceEndpoint is an OTLP/HTTP collector, host:port; empty means none.
-	TraceEndpoint string `json:"traceEndpoint,omitempty"`
-}
-
-func (t Telemetry) check() error {
+func checkTelemetry(t telemetry.Settings) error {
 	if err := checkAddr("telemetry.observe", t.Observe); err != nil {
 		return err
 	}
--- a/settings/entry.go
+++ b/standalone/settings/entry.go
@@ -1,8 +1,10 @@
 package settings
 
+import "github.com/silverdeck/silverdeck/telemetry"
+
 // Entry holds the settings of silverdeck-entry.
 type Entry struct {
-	Identity
+	telemetry.Identity
 	// Caller is where callers connect; Operator where operators do; Peer where
 	// our own processes do.
 	Caller   string `json:"caller"`
@@ -27,11 +29,11 @@
 	MaxBodyBytes int64 `json:"maxBodyBytes"`
 	// OperatorTokens maps a hex BLAKE3 digest of a bearer token to the
 	// operator's name. Empty means that every operator is believed.
-	OperatorTokens map[string]string `json:"operatorTokens,omitempty"`
-	CallerTLS      TLS               `json:"callerTLS,omitzero"`
-	OperatorTLS    TLS               `json:"operatorTLS,omitzero"`
-	PeerTLS        TLS               `json:"peerTLS,omitzero"`
-	Telemetry      Telemetry         `json:"telemetry"`
+	OperatorTokens map[string]string  `json:"operatorTokens,omitempty"`
+	CallerTLS      TLS                `json:"callerTLS,omitzero"`
+	OperatorTLS    TLS                `json:"operatorTLS,omitzero"`
+	PeerTLS        TLS                `json:"peerTLS,omitzero"`
+	Telemetry      telemetry.Settings `json:"telemetry"`
 }
 
 // DefaultEntry returns the settings that hold where the file says nothing.
@@ -42,7 +44,7 @@
 		AddressTTLSeconds: 30,
 		RetryShare:        0.1,
 		MaxBodyBytes:      8 << 20,
-		Telemetry:         Telemetry{LogLevel: "info"},
+		Telemetry:         telemetry.Settings{LogLevel: "info"},
 	}
 }
 
@@ -53,11 +55,11 @@
 		"telemetry.observe": s.Telemetry.Observe,
 	}
 	return first(
-		s.check(),
+		checkIdentity(s.Identity),
 		checkAddr("caller", s.Caller),
 		checkAddr("operator", s.Operator),
 		checkAddr("peer", s.Peer),
-		s.Telemetry.check(),
+		checkTelemetry(s.Telemetry),
 		checkDistinct(addrs, []string{"caller", "operator", "peer", "telemetry.observe"}),
 		checkURLs("platform", s.Platform),
 		checkURL("origin", s.Origin),
--- a/settings/settings_test.go
+++ b/standalone/settings/settings_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/silverdeck/silverdeck/casefile"
-	"github.com/silverdeck/silverdeck/settings"
+	"github.com/silverdeck/silverdeck/standalone/settings"
 )
 
 var _ = Describe("Load", func() {
--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -6,13 +6,11 @@
 	"io"
 
 	"github.com/charmbracelet/log"
-
-	"github.com/silverdeck/silverdeck/settings"
 )
 
 // NewLogger returns a logger that writes JSON lines to w with the process's
 // VM, availability zone and region in each.
-func NewLogger(w io.Writer, level string, id settings.Identity) *log.Logger {
+func NewLogger(w io.Writer, level string, id Identity) *log.Logger {
 	l := log.NewWithOptions(w, log.Options{ReportTimestamp: true, TimeFormat: "2006-01-02T15:04:05.000Z07:00", Formatter: log.JSONFormatter})
 	if lv, err := log.ParseLevel(level); err == nil {
 		l.SetLevel(lv)
--- a/telemetry/trace.go
+++ b/telemetry/trace.go
@@ -12,8 +12,6 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 	"go.opentelemetry.io/otel/trace/noop"
-
-	"github.com/silverdeck/silverdeck/settings"
 )
 
 // tracerName names the spans' instrumentation.
@@ -28,7 +26,7 @@
 }
 
 // NewTracer returns a Tracer that exports as t says, or to nowhere.
-func NewTracer(t settings.Telemetry, process string, id settings.Identity) (*Tracer, error) {
+func NewTracer(t Settings, process string, id Identity) (*Tracer, error) {
 	var opts []sdktrace.TracerProviderOption
 	if t.TraceFile != "" {
 		f, err := os.OpenFile(t.TraceFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
