--- a/cmd/silverdeck-standin/drive.go
+++ b/cmd/silverdeck-standin/drive.go
@@ -139,6 +139,7 @@
 	got, want string
 }
 
+// Error names both.
 func (e *wrongError) Error() string {
 	return fmt.Sprintf("wrong answer %.60q, want %.60q", e.got, e.want)
 }
--- a/cmd/silverdeck-standin/main.go
+++ b/cmd/silverdeck-standin/main.go
@@ -14,6 +14,7 @@
 	"github.com/silverdeck/silverdeck/standalone/standin"
 )
 
+// mib is a mebibyte, in bytes.
 const mib = 1 << 20
 
 type platformCmd struct {
--- a/cmd/silverdeck/main.go
+++ b/cmd/silverdeck/main.go
@@ -18,12 +18,18 @@
 
 // Exit statuses that scripts can use.
 const (
-	exitFailed   = 1
-	exitUsage    = 2
+	// exitFailed is for whatever has no status of its own.
+	exitFailed = 1
+	// exitUsage is for wrong arguments.
+	exitUsage = 2
+	// exitConflict is for a change that another operator's came before.
 	exitConflict = 3
-	exitUnknown  = 4
+	// exitUnknown is for a change that may have been accepted.
+	exitUnknown = 4
+	// exitWarnings is for files or a configuration with warnings.
 	exitWarnings = 5
-	exitNotLive  = 6
+	// exitNotLive is for a rollout that is not live in time.
+	exitNotLive = 6
 )
 
 type args struct {
--- a/cmd/silverdeck/rollout.go
+++ b/cmd/silverdeck/rollout.go
@@ -103,6 +103,7 @@
 	return out
 }
 
+// mib is a mebibyte, in bytes.
 const mib = 1 << 20
 
 func printRollout(r operator.RolloutStatus) {
--- a/gateway/balance/health.go
+++ b/gateway/balance/health.go
@@ -40,8 +40,10 @@
 	// minEjection is for how long an endpoint is ejected at first; it doubles with
 	// each ejection in a row, maxDoublings times, up to maxEjection. Chosen by
 	// judgement, not measured.
-	minEjection  = 500 * time.Millisecond
-	maxEjection  = 4 * time.Second
+	minEjection = 500 * time.Millisecond
+	// maxEjection is the longest ejection.
+	maxEjection = 4 * time.Second
+	// maxDoublings is after how many the time stays.
 	maxDoublings = 3
 	// unresponsiveLimit is how many unresponsive requests in a row, with no other in
 	// progress, eject an endpoint: one alone may just have lost its answer. Chosen by
--- a/gateway/proxy/answer.go
+++ b/gateway/proxy/answer.go
@@ -21,7 +21,8 @@
 	// maxDrain is how much of a refusal's body, in bytes, is read so that its
 	// connection can be kept, and drainTime how long that may take. A new connection
 	// costs about as much as either. Chosen by judgement, not measured.
-	maxDrain  = 16 << 10
+	maxDrain = 16 << 10
+	// drainTime bounds the reading of a refusal's body.
 	drainTime = 50 * time.Millisecond
 )
 
--- a/gateway/replica/rules.go
+++ b/gateway/replica/rules.go
@@ -17,6 +17,7 @@
 	patienceEach = 30 * time.Millisecond
 	// minPatience and maxPatience bound that. Chosen by judgement, not measured.
 	minPatience = 250 * time.Millisecond
+	// maxPatience is the longest.
 	maxPatience = time.Second
 	// hedgeAfter is how long one gateway may take before another is asked too. Chosen
 	// by judgement, not measured.
@@ -65,6 +66,7 @@
 	// minHold and maxHold bound that. Holds of 10 s let a lost watch stay unseen for
 	// too long on claimsdesk-ja scale-1 (docs/FINDINGS.md); the values are judgement.
 	minHold = 2500 * time.Millisecond
+	// maxHold is the longest.
 	maxHold = 10 * time.Second
 )
 
--- a/gateway/upstream/conn.go
+++ b/gateway/upstream/conn.go
@@ -14,8 +14,12 @@
 )
 
 const (
+	// readBuffer is the size of a connection's buffer, in bytes: the head of an answer
+	// fits. Chosen by judgement.
 	readBuffer = 4 << 10
-	dialLimit  = 300 * time.Millisecond
+	// dialLimit bounds the opening of a connection: a live endpoint answers within some
+	// milliseconds. Chosen by judgement.
+	dialLimit = 300 * time.Millisecond
 	// shortestIdle is for how long a connection may rest that says nothing of it.
 	shortestIdle = 2 * time.Second
 	// idleMargin is taken from the time that an endpoint keeps idle connections.
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -61,6 +61,7 @@
 	// from one to the other, and half of it either way is drawn. Chosen by judgement:
 	// the store must be known to be back within a fraction of a second.
 	minBackoff = 100 * time.Millisecond
+	// maxBackoff is the longest pause.
 	maxBackoff = 400 * time.Millisecond
 	// restPause is how often a mirror that is at rest looks whether it is still. Chosen
 	// by judgement, not measured.
--- a/origin/origin.go
+++ b/origin/origin.go
@@ -57,6 +57,7 @@
 	return &client{base: strings.TrimSuffix(base, "/"), http: c}
 }
 
+// Manifest implements Source.
 func (c *client) Manifest(ctx context.Context, path string) ([]byte, error) {
 	r, err := c.request(ctx, path+weights.ManifestSuffix)
 	if err != nil {
@@ -73,6 +74,7 @@
 	return io.ReadAll(io.LimitReader(resp.Body, weights.MaxManifestBytes))
 }
 
+// ReadRange implements Source.
 func (c *client) ReadRange(ctx context.Context, path, etag string, off, n int64) ([]byte, string, error) {
 	r, err := c.request(ctx, path)
 	if err != nil {
--- a/roster/retention.go
+++ b/roster/retention.go
@@ -7,9 +7,11 @@
 )
 
 // How many endpoints of a service vanish together only when the platform forgot
-// them: at least massCount and this share of them.
+// them.
 const (
+	// massCount is the least number: two may die together. Chosen by judgement.
 	massCount = 3
+	// massShare is the least part of the service's endpoints. Chosen by judgement.
 	massShare = 0.4
 )
 
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -42,7 +42,8 @@
 	gather = 50 * time.Millisecond
 	// dialLimit bounds the opening of a connection, headerLimit the head of a request.
 	// Chosen by judgement.
-	dialLimit   = 500 * time.Millisecond
+	dialLimit = 500 * time.Millisecond
+	// headerLimit bounds the head of a request. Chosen by judgement.
 	headerLimit = 5 * time.Second
 )
 
--- a/sidecar/stage/stager.go
+++ b/sidecar/stage/stager.go
@@ -18,7 +18,8 @@
 const (
 	// lookEvery is how often the endpoint is asked for its state, settledEvery
 	// while it runs what it should. Such calls stay on the VM. Chosen by judgement.
-	lookEvery    = 150 * time.Millisecond
+	lookEvery = 150 * time.Millisecond
+	// settledEvery is how often while it runs what it should.
 	settledEvery = 500 * time.Millisecond
 	// callLimit bounds one call to the endpoint or the origin. Chosen by judgement.
 	callLimit = 2 * time.Second
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -49,10 +49,15 @@
 
 // Timing of callers.
 const (
-	callerPause   = 15 * time.Millisecond
-	streamLimit   = 6 * time.Second
-	plainLimit    = 1500 * time.Millisecond
-	resolveLimit  = time.Second
+	// callerPause is the time between a caller's requests. Chosen by judgement.
+	callerPause = 15 * time.Millisecond
+	// streamLimit is how long a caller waits for a stream, as the users' do.
+	streamLimit = 6 * time.Second
+	// plainLimit is how long it waits for a plain answer, as the users' do.
+	plainLimit = 1500 * time.Millisecond
+	// resolveLimit is how long it waits for the directory. Chosen by judgement.
+	resolveLimit = time.Second
+	// patienceLimit is the longest time after which it comes back. Chosen by judgement.
 	patienceLimit = 500 * time.Millisecond
 )
 
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -103,10 +103,17 @@
 
 // Pace of faults.
 const (
-	leastPause   = 100 * time.Millisecond
-	spreadPause  = 900 * time.Millisecond
-	leastFault   = 200 * time.Millisecond
-	spreadFault  = 3 * time.Second
+	// leastPause and spreadPause bound the pause between two faults: several overlap.
+	// These and the next are chosen by judgement.
+	leastPause = 100 * time.Millisecond
+	// spreadPause is drawn from, on top of leastPause.
+	spreadPause = 900 * time.Millisecond
+	// leastFault and spreadFault bound how long a fault lasts: some are over before they
+	// are noticed, some outlast every limit of a call.
+	leastFault = 200 * time.Millisecond
+	// spreadFault is drawn from, on top of leastFault.
+	spreadFault = 3 * time.Second
+	// disturbAfter is how long after the start the first fault comes.
 	disturbAfter = 4 * time.Second
 )
 
--- a/soak/process.go
+++ b/soak/process.go
@@ -92,7 +92,11 @@
 	return p.planned.After(since.Add(-plannedWindow)) && p.disturbed.Before(since.Add(-faultMemory))
 }
 
+// What excuses a process.
 const (
+	// plannedWindow is how long a planned stop may take: the platform's grace_s.
 	plannedWindow = 8 * time.Second
-	faultMemory   = 3 * time.Second
+	// faultMemory is for how long after its end a fault excuses what is cut. Chosen by
+	// judgement.
+	faultMemory = 3 * time.Second
 )
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -26,11 +26,13 @@
 
 // Limits of a soak.
 const (
+	// callers is how many send requests at once. Chosen by judgement.
 	callers = 8
 	// startLimit is how long the system may take until all entries are ready.
 	startLimit = time.Minute
 	// healLimit is how long it may take to serve everything after all faults.
 	healLimit = time.Minute
+	// pollEvery is how often a condition is looked at.
 	pollEvery = 100 * time.Millisecond
 	// settleTime is how long requests may still be under way at the end.
 	settleTime = time.Second
--- a/soak/world.go
+++ b/soak/world.go
@@ -117,14 +117,22 @@
 
 // Ports of the stand-ins and of our programs; each has an address of its own.
 const (
-	portCallers   = 8005
-	portReady     = 8002
+	// portCallers takes callers' requests at a gateway.
+	portCallers = 8005
+	// portReady answers readiness checks at a gateway.
+	portReady = 8002
+	// portDirectory answers questions for addresses at a gateway.
 	portDirectory = 8009
-	portPeer      = 7700
-	portRunner    = 8001
-	portDirect    = 8101
-	portStore     = 8007
-	portOrigin    = 8006
+	// portPeer takes calls of our own processes.
+	portPeer = 7700
+	// portRunner is where an endpoint is reached, through a proxy that injects faults.
+	portRunner = 8001
+	// portDirect is where it is reached without the proxy.
+	portDirect = 8101
+	// portStore is the store's.
+	portStore = 8007
+	// portOrigin is that of the origin of weights.
+	portOrigin = 8006
 )
 
 // newWorld starts everything.
--- a/standalone/admission/fairqueue.go
+++ b/standalone/admission/fairqueue.go
@@ -60,10 +60,13 @@
 	return true
 }
 
+// waiterHeap orders those who wait by the virtual time at which they are done.
 type waiterHeap []*waiter
 
+// Len implements heap.Interface.
 func (h waiterHeap) Len() int { return len(h) }
 
+// Less implements heap.Interface.
 func (h waiterHeap) Less(i, j int) bool {
 	if h[i].finish != h[j].finish {
 		return h[i].finish < h[j].finish
@@ -71,10 +74,13 @@
 	return h[i].seq < h[j].seq
 }
 
+// Swap implements heap.Interface.
 func (h waiterHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
+// Push implements heap.Interface.
 func (h *waiterHeap) Push(x any) { *h = append(*h, x.(*waiter)) }
 
+// Pop implements heap.Interface.
 func (h *waiterHeap) Pop() any {
 	old := *h
 	n := len(old)
--- a/standalone/bench/burst/main.go
+++ b/standalone/bench/burst/main.go
@@ -23,6 +23,7 @@
 	PerPeer  int     `arg:"--per-peer" default:"1"`
 }
 
+// mib is a mebibyte, in bytes.
 const mib = 1 << 20
 
 // result is one line of the table.
--- a/standalone/bench/burst/scenario.go
+++ b/standalone/bench/burst/scenario.go
@@ -35,8 +35,11 @@
 
 // Faults of the plan "faults".
 const (
-	killedShare    = 0.1
-	stalledShare   = 0.05
+	// killedShare is the part of the VMs that are killed and replaced.
+	killedShare = 0.1
+	// stalledShare is the part of the links that stall for a while.
+	stalledShare = 0.05
+	// corruptPercent is how many of a hundred chunks are corrupt.
 	corruptPercent = 1
 	// replaceLag is how long the platform's list lags behind.
 	replaceLag = time.Second
--- a/standalone/caller/request.go
+++ b/standalone/caller/request.go
@@ -17,7 +17,9 @@
 
 // Estimates of a request's work.
 const (
-	bytesPerToken    = 4
+	// bytesPerToken is the usual length of a token of English text.
+	bytesPerToken = 4
+	// defaultMaxTokens stands for a request that bounds its answer by nothing. Chosen by judgement.
 	defaultMaxTokens = 256
 	// prefixBytes is how much of a prompt names its prefix.
 	prefixBytes = 256
--- a/standalone/commit/commit.go
+++ b/standalone/commit/commit.go
@@ -37,8 +37,10 @@
 
 // Backoff between tries while the platform does not answer.
 const (
+	// firstPause is the first pause; it doubles. Chosen by judgement.
 	firstPause = 50 * time.Millisecond
-	maxPause   = 2 * time.Second
+	// maxPause is the longest pause. Chosen by judgement.
+	maxPause = 2 * time.Second
 )
 
 // Committer writes snapshots. It is safe for concurrent use.
--- a/standalone/engine/engine.go
+++ b/standalone/engine/engine.go
@@ -97,6 +97,7 @@
 	return &client{base: base, http: c}
 }
 
+// Order implements Engine.
 func (c *client) Order(ctx context.Context, o Order) error {
 	b, err := json.Marshal(o)
 	if err != nil {
@@ -117,6 +118,7 @@
 	return &OrderError{Status: status, Text: string(bytes.TrimSpace(answer))}
 }
 
+// State implements Engine.
 func (c *client) State(ctx context.Context) (State, error) {
 	s := State{}
 	status, answer, err := c.do(ctx, http.MethodGet, "/v1/state", nil)
--- a/standalone/entry/spread.go
+++ b/standalone/entry/spread.go
@@ -21,7 +21,8 @@
 	// exchangeEvery is how often an entry exchanges news with one other.
 	exchangeEvery = 400 * time.Millisecond
 	// urgentFanout is how many others hear of a new configuration at once.
-	urgentFanout  = 3
+	urgentFanout = 3
+	// exchangeLimit bounds one exchange. Chosen by judgement.
 	exchangeLimit = 2 * time.Second
 )
 
--- a/standalone/entry/watch.go
+++ b/standalone/entry/watch.go
@@ -24,8 +24,10 @@
 	// silenceLimit is how long an entry may hear from no other before it
 	// watches by itself.
 	silenceLimit = 5 * time.Second
-	firstPause   = 100 * time.Millisecond
-	maxPause     = 5 * time.Second
+	// firstPause is the first pause after a call that failed; it doubles. Chosen by judgement.
+	firstPause = 100 * time.Millisecond
+	// maxPause is the longest pause. Chosen by judgement.
+	maxPause = 5 * time.Second
 )
 
 // watch calls once again and again while this entry is one of those that
--- a/standalone/object/selector.go
+++ b/standalone/object/selector.go
@@ -33,6 +33,7 @@
 	return selector{s: p}, nil
 }
 
+// Matches implements Selector.
 func (s selector) Matches(l map[string]string) bool {
 	return s.s.Matches(labels.Set(l))
 }
@@ -40,6 +41,7 @@
 // nothing selects nothing.
 type nothing struct{}
 
+// Matches implements Selector.
 func (nothing) Matches(map[string]string) bool { return false }
 
 // Compile returns the selector written in s, to be used many times. One that
--- a/standalone/objectstore/client.go
+++ b/standalone/objectstore/client.go
@@ -163,6 +163,7 @@
 	err error
 }
 
+// Error says so, with the cause.
 func (e *limitError) Error() string {
 	return "share of the platform's rate used up: " + e.err.Error()
 }
--- a/standalone/router/eject.go
+++ b/standalone/router/eject.go
@@ -11,8 +11,10 @@
 
 // Ejection of endpoints by direct evidence.
 const (
+	// firstEjection is for how long at first; it doubles with each ejection in a row. Chosen by judgement.
 	firstEjection = time.Second
-	maxEjection   = 30 * time.Second
+	// maxEjection is the longest ejection. Chosen by judgement.
+	maxEjection = 30 * time.Second
 	// leavingEjection is how long an endpoint that said it was leaving is left
 	// alone; by then its report has come around.
 	leavingEjection = 3 * time.Second
--- a/standalone/secure/secure.go
+++ b/standalone/secure/secure.go
@@ -18,11 +18,17 @@
 
 // Limits on connections.
 const (
-	dialLimit       = 2 * time.Second
-	headerLimit     = 10 * time.Second
-	idleLimit       = 90 * time.Second
-	maxHeaderBytes  = 64 << 10
-	idlePerHost     = 4
+	// dialLimit bounds the opening of a connection. Chosen by judgement.
+	dialLimit = 2 * time.Second
+	// headerLimit bounds the head of a request. Chosen by judgement.
+	headerLimit = 10 * time.Second
+	// idleLimit is for how long a connection may rest. Chosen by judgement.
+	idleLimit = 90 * time.Second
+	// maxHeaderBytes is the largest head of a request, in bytes. Chosen by judgement.
+	maxHeaderBytes = 64 << 10
+	// idlePerHost is how many idle connections are kept to one host. Chosen by judgement.
+	idlePerHost = 4
+	// keepAlivePeriod is how often TCP asks whether the other side is there. Chosen by judgement.
 	keepAlivePeriod = 15 * time.Second
 )
 
--- a/standalone/ticket/ticket.go
+++ b/standalone/ticket/ticket.go
@@ -34,6 +34,7 @@
 	MAC []byte `json:"m"`
 }
 
+// macSize is how many bytes of a MAC are kept: 128 bits can't be guessed.
 const macSize = 16
 
 // String returns the ticket as callers hold it.
--- a/standin/origin.go
+++ b/standin/origin.go
@@ -10,9 +10,11 @@
 	"strings"
 )
 
-// Size of the stand-in's weights.
+// Size of the stand-in's weights: small, so that a soak loads many versions.
 const (
-	Chunks     = 16
+	// Chunks is how many chunks a version has.
+	Chunks = 16
+	// ChunkBytes is the size of each, in bytes.
 	ChunkBytes = 8 << 10
 )
 
--- a/standin/runner.go
+++ b/standin/runner.go
@@ -17,9 +17,12 @@
 
 // Timing of a stand-in runner.
 const (
+	// eventPause is the time between two events of a stream.
 	eventPause = 20 * time.Millisecond
-	workTime   = 10 * time.Millisecond
-	warmTime   = 50 * time.Millisecond
+	// workTime is how long a plain request takes.
+	workTime = 10 * time.Millisecond
+	// warmTime is how long a load takes.
+	warmTime = 50 * time.Millisecond
 )
 
 // RunnerConfig holds a Runner's settings.
--- a/swarm/config.go
+++ b/swarm/config.go
@@ -92,8 +92,11 @@
 
 // Defaults of a Config; bench/burst measures them together.
 const (
-	defaultDegree     = 10
-	defaultParallel   = 8
+	// defaultDegree is how many neighbours a member asks.
+	defaultDegree = 10
+	// defaultParallel is how many chunks it fetches at once.
+	defaultParallel = 8
+	// defaultMinTimeout is the shortest time after which a chunk counts as stalled.
 	defaultMinTimeout = 500 * time.Millisecond
 )
 
@@ -101,6 +104,7 @@
 const (
 	// minLateness and maxLateness bound it.
 	minLateness = 250 * time.Millisecond
+	// maxLateness is the longest.
 	maxLateness = 15 * time.Second
 	// unknownCopyTime stands for an eighth of the time of one copy where the origin's
 	// rate is not known.
--- a/weights/manifest.go
+++ b/weights/manifest.go
@@ -18,7 +18,9 @@
 
 // Limits on a chunk's size, in bytes.
 const (
+	// MinChunkSize keeps manifests short.
 	MinChunkSize = 4 << 10
+	// MaxChunkSize is what is held in memory of a chunk that is not verified yet.
 	MaxChunkSize = 64 << 20
 )
 
