--- a/standalone/entry/entry.go
+++ b/standalone/entry/entry.go
@@ -74,8 +74,10 @@
 	leaving   atomic.Bool
 
 	platformVersion atomic.Int64
-	// notedSnapshot and notedList are the newest that were noted.
-	notedSnapshot, notedList atomic.Int64
+
+	notedMu sync.Mutex
+	// noted are the newest versions that were noted, by what they are of.
+	noted map[string]int64
 
 	manifestMu sync.Mutex
 	manifests  map[weights.Digest]*weights.Manifest
@@ -108,6 +110,7 @@
 		table:     fleet.NewTable(),
 		pool:      peerconn.NewPool(peers),
 		events:    operator.NewEvents(),
+		noted:     map[string]int64{},
 		manifests: map[weights.Digest]*weights.Manifest{},
 		running:   drain.NewTracker(),
 	}
@@ -234,28 +237,30 @@
 	whatList     = "list"
 )
 
-// changed notes that something newer is in force and tells others. Several
-// ways lead to the same news; it is noted once.
+// changed notes that something newer is in force and tells others. Several ways
+// lead to the same news; it is noted once, and before any of them goes on.
 func (e *Entry) changed(what string, version int64) {
-	noted := &e.notedList
 	if what == whatSnapshot {
-		noted = &e.notedSnapshot
 		e.spreader.seen(version)
 	}
-	for {
-		old := noted.Load()
-		if version <= old {
-			return
-		}
-		if noted.CompareAndSwap(old, version) {
-			break
-		}
+	if e.note(what, version) {
+		e.spreader.urgent()
+	}
+}
+
+// note writes down what is in force, and returns false when that was done before.
+func (e *Entry) note(what string, version int64) bool {
+	e.notedMu.Lock()
+	defer e.notedMu.Unlock()
+	if version <= e.noted[what] {
+		return false
 	}
+	e.noted[what] = version
 	e.log.Info("in force", "what", what, "version", version)
 	if what == whatSnapshot {
 		e.events.Add("config", e.holder.Current().Author, "revision in force")
 	}
-	e.spreader.urgent()
+	return true
 }
 
 func (e *Entry) noteLoad(vm string, a *forward.Answer) {
--- a/standalone/entry/operate.go
+++ b/standalone/entry/operate.go
@@ -34,10 +34,12 @@
 		return e.result(next), nil
 	}
 	next, err := e.committer.Commit(ctx, b)
+	// The committer reads before it writes: also a batch that is refused may have
+	// brought a newer configuration to this entry.
+	e.changed(whatSnapshot, e.holder.Current().Revision)
 	if err != nil {
 		return nil, err
 	}
-	e.changed(whatSnapshot, next.Revision)
 	return e.result(next), nil
 }
 
