--- a/gateway/upstream/conn.go
+++ b/gateway/upstream/conn.go
@@ -60,6 +60,16 @@
 	return err == nil && quiet
 }
 
+// abort ends the connection at once and drops what was not delivered yet. After a
+// plain close the kernel would go on sending: an endpoint whose link stood still
+// would get a request that was withdrawn long ago, and run it.
+func (c *conn) abort() {
+	if tcp, ok := c.Conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails only on a connection that is closed
+	}
+	_ = c.Close()
+}
+
 // rest notes for how long c may stay idle, by the answer's header.
 func (c *conn) rest(h http.Header, now time.Time) {
 	keep := shortestIdle
--- a/gateway/upstream/upstream.go
+++ b/gateway/upstream/upstream.go
@@ -159,11 +159,11 @@
 		}
 		cn = &conn{Conn: opened, reader: bufio.NewReaderSize(opened, readBuffer)}
 	}
-	stop := context.AfterFunc(ctx, func() { _ = cn.Close() })
+	stop := context.AfterFunc(ctx, cn.abort)
 	head, progress, err := cn.roundTrip(q, o.GiveUp)
 	if err != nil {
 		stop()
-		_ = cn.Close()
+		cn.abort()
 		return nil, verdict.Classify(progress, cause(ctx, err))
 	}
 	return &Exchange{
@@ -261,16 +261,20 @@
 }
 
 // Close ends the exchange. The connection is kept when the whole answer was
-// read and nothing came after it; else it is closed.
+// read and nothing came after it. It is closed where the endpoint asked for that,
+// and reset where the request was withdrawn.
 func (x *Exchange) Close() {
 	x.finish.Do(func() {
 		canceled := !x.stop()
-		if !x.ended || x.close || canceled || x.conn.reader.Buffered() > 0 {
+		switch {
+		case !x.ended || canceled:
+			x.conn.abort()
+		case x.close || x.conn.reader.Buffered() > 0:
 			_ = x.conn.Close()
-			return
+		default:
+			_ = x.conn.SetReadDeadline(time.Time{})
+			x.conn.rest(x.Header, time.Now())
+			x.shelf.put(x.conn)
 		}
-		_ = x.conn.SetReadDeadline(time.Time{})
-		x.conn.rest(x.Header, time.Now())
-		x.shelf.put(x.conn)
 	})
 }
