--- a/drain/tracker.go
+++ b/drain/tracker.go
@@ -1,4 +1,5 @@
-// Package drain tells when the requests in progress are over.
+// Package drain tells when the requests in progress are over. It owns their count,
+// under a lock, and relies on being told of each that begins and ends.
 package drain
 
 import (
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -1,5 +1,9 @@
-// Package exchange carries chunks and manifests between agents: news of
-// chunks over net/rpc, the chunks themselves over HTTP.
+// Package exchange carries chunks and manifests between VMs: news of chunks over
+// net/rpc, the chunks themselves over HTTP.
+//
+// Sets owns what a VM holds for others. A Server relies on Holdings and bounds how
+// much it sends at once; a Client relies on the connections of package peerconn.
+// message.go has what is on the wire.
 package exchange
 
 import (
--- a/exchange/server.go
+++ b/exchange/server.go
@@ -120,6 +120,7 @@
 		return
 	}
 	defer s.leave()
+	// Where the other side is gone, this and what follows fail; it asks elsewhere.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeLimit))
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	s.send(w, r, b)
@@ -192,5 +193,5 @@
 		return
 	}
 	w.Header().Set("Content-Length", strconv.FormatInt(set.Manifest().Size, 10))
-	_, _ = set.WriteTo(w)
+	_, _ = set.WriteTo(w) // an engine that is gone asks again
 }
--- a/gateway/proxy/stream.go
+++ b/gateway/proxy/stream.go
@@ -30,7 +30,7 @@
 // stream passes a stream of events on as they come.
 func (p *Proxy) stream(ctx context.Context, w http.ResponseWriter, c *call, x *upstream.Exchange, lease *balance.Lease) (*verdict.Error, balance.Outcome) {
 	out := http.NewResponseController(w)
-	_ = out.SetWriteDeadline(c.deadline.Add(writeSlack))
+	_ = out.SetWriteDeadline(c.deadline.Add(writeSlack)) // fails only once the caller is gone
 	var events eventReader
 	events.limit = maxEvent
 	giveUp := p.giveUp(c, lease)
--- a/gateway/upstream/conn.go
+++ b/gateway/upstream/conn.go
@@ -3,6 +3,8 @@
 //
 // It owns the idle connections to each endpoint, under a lock for each. A connection
 // in use belongs to one exchange. Package verdict turns errors into what is known.
+// Setting a deadline fails only on a connection that was closed, and then the next
+// read or write says so: that is why it is not checked.
 package upstream
 
 import (
@@ -74,7 +76,7 @@
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails only on a connection that is closed
 	}
-	_ = c.Close()
+	_ = c.Close() // of no use to anybody in either case
 }
 
 // rest notes for how long c may stay idle, by the answer's header.
--- a/peerconn/client.go
+++ b/peerconn/client.go
@@ -127,13 +127,13 @@
 	}
 	conn = &countedConn{Conn: conn, pool: p}
 	if deadline, ok := ctx.Deadline(); ok {
-		_ = conn.SetDeadline(deadline)
+		_ = conn.SetDeadline(deadline) // the handshake fails where this does
 	}
 	if err := handshake(conn); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	_ = conn.SetDeadline(noDeadline)
+	_ = conn.SetDeadline(noDeadline) // the first call fails where this does
 	return rpc.NewClient(conn), nil
 }
 
--- a/process/process.go
+++ b/process/process.go
@@ -52,7 +52,7 @@
 		os.Exit(1)
 	}
 	app.Run()
-	_ = out.Close()
+	_ = out.Close() // there is nowhere left to say so
 }
 
 func hook[S Service](lc fx.Lifecycle, s S, tracer *telemetry.Tracer) {
--- a/sidecar/stage/load.go
+++ b/sidecar/stage/load.go
@@ -126,7 +126,7 @@
 	return s.cfg.Endpoint.Load(ctx, o)
 }
 
-// awaitQueue waits until no request waits at the endpoint that entries sent
+// awaitQueue waits until no request waits at the endpoint that gateways sent
 // before they heard of the pause: it would begin on the old weights, and late
 // if this VM stood still now.
 func (s *Stager) awaitQueue(ctx context.Context) {
@@ -142,7 +142,7 @@
 	}
 }
 
-// awaitLoaded waits until the endpoint runs a version, and tells the entries.
+// awaitLoaded waits until the endpoint runs a version, and tells the gateways.
 func (s *Stager) awaitLoaded(ctx context.Context, model string, version int64) {
 	began := time.Now()
 	for time.Since(began) < loadLimit && wait.For(ctx, loadedEvery) {
--- a/sidecar/stage/stage.go
+++ b/sidecar/stage/stage.go
@@ -91,8 +91,8 @@
 type Fleet interface {
 	// Members returns them, with this VM.
 	Members(ctx context.Context) ([]swarm.Member, error)
-	// Pause asks the entries to send the endpoint nothing for d.
+	// Pause asks the gateways to send the endpoint nothing for d.
 	Pause(ctx context.Context, d time.Duration)
-	// Loaded tells the entries that the endpoint runs a version of model.
+	// Loaded tells the gateways that the endpoint runs a version of model.
 	Loaded(ctx context.Context, model string, version int64)
 }
--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -1,5 +1,6 @@
 // Package telemetry makes a process observable: logs in JSON lines, metrics,
-// traces with a span for each hop, health and a state dump.
+// traces with a span for each hop, health and a state dump. It owns the queue of
+// log lines, whose writer never makes a request wait.
 package telemetry
 
 import (
--- a/telemetry/observe.go
+++ b/telemetry/observe.go
@@ -31,13 +31,13 @@
 	})
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-		_ = WriteMetrics(w, r)
+		_ = WriteMetrics(w, r) // who asked is gone
 	})
 	mux.HandleFunc("GET /debug/state", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
-		_ = e.Encode(o.State())
+		_ = e.Encode(o.State()) // who asked is gone
 	})
 	return mux
 }
--- a/wait/wait.go
+++ b/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses for a time or until a context ends.
+// Package wait pauses for a time or until a context ends. It owns nothing.
 package wait
 
 import (
--- a/weights/digest.go
+++ b/weights/digest.go
@@ -1,7 +1,8 @@
 // Package weights binds chunks of weights to one complete version.
 //
 // A Manifest lists a digest for each chunk and for the whole. A Set accepts
-// only chunks that match it, and is complete only when every chunk has.
+// only chunks that match it, and is complete only when every chunk has. A Set owns
+// its chunks under one lock; a Manifest does not change.
 package weights
 
 import (
