--- a/standalone/agent/agent.go
+++ b/standalone/agent/agent.go
@@ -62,42 +62,58 @@
 		return nil, err
 	}
 	a := &Agent{cfg: cfg, network: network, log: l, registry: registry, pool: peerconn.NewPool(d), holder: newHolder(cfg.HoldBytes)}
-	gate := admission.NewGate(admission.Config{Slots: cfg.Slots, UrgentSlots: cfg.UrgentSlots, Queue: cfg.Queue})
-	a.loader = &loader{
-		self:     swarm.Member{VM: cfg.VM, Addr: cfg.Peer, Zone: cfg.Zone, Region: cfg.Region},
-		plain:    cfg.Plain,
+	a.loader = a.newLoader(d, plain)
+	a.reporter = a.newReporter()
+	a.runner = a.newRunner(plain, tracer)
+	return a, a.buildServers()
+}
+
+// newLoader returns what fetches and loads weights. Other agents are reached by d,
+// the origin and the engine by plain.
+func (a *Agent) newLoader(d, plain *secure.Dialer) *loader {
+	return &loader{
+		self:     swarm.Member{VM: a.cfg.VM, Addr: a.cfg.Peer, Zone: a.cfg.Zone, Region: a.cfg.Region},
+		plain:    a.cfg.Plain,
 		holder:   a.holder,
-		fence:    newFence(engine.NewClient(cfg.Engine, plain.HTTPClient())),
+		fence:    newFence(engine.NewClient(a.cfg.Engine, plain.HTTPClient())),
 		peers:    exchange.NewClient(a.pool, d.HTTPClient(), d.Scheme()),
-		origin:   origin.NewClient(cfg.Origin, plain.HTTPClient()),
+		origin:   origin.NewClient(a.cfg.Origin, plain.HTTPClient()),
 		homes:    a.homes,
 		news:     func() { a.reporter.now() },
-		engineAt: d.Scheme() + "://" + cfg.Peer,
-		log:      l,
+		engineAt: d.Scheme() + "://" + a.cfg.Peer,
+		log:      a.log,
 		tasks:    map[weights.Digest]*task{},
 		wake:     make(chan struct{}, 1),
 	}
-	a.reporter = &reporter{
+}
+
+// newReporter returns what tells the home entries of this endpoint.
+func (a *Agent) newReporter() *reporter {
+	return &reporter{
 		pool:        a.pool,
-		seeds:       cfg.Entries,
+		seeds:       a.cfg.Entries,
 		fill:        a.fill,
 		apply:       a.apply,
-		log:         l,
+		log:         a.log,
 		incarnation: uint64(time.Now().UnixNano()),
 		wake:        make(chan struct{}, 1),
 	}
-	a.runner = &runner{
-		engine:  cfg.Engine,
+}
+
+// newRunner returns what runs requests at the engine.
+func (a *Agent) newRunner(plain *secure.Dialer, tracer *telemetry.Tracer) *runner {
+	return &runner{
+		engine:  a.cfg.Engine,
 		http:    plain.HTTPClient(),
-		gate:    gate,
-		slots:   cfg.Slots,
+		gate:    admission.NewGate(admission.Config{Slots: a.cfg.Slots, UrgentSlots: a.cfg.UrgentSlots, Queue: a.cfg.Queue}),
+		slots:   a.cfg.Slots,
 		serves:  a.loader.serves,
 		tracer:  tracer,
 		running: drain.NewTracker(),
 	}
-	return a, a.buildServers()
 }
 
+// buildServers makes the servers of the agent's ports.
 func (a *Agent) buildServers() error {
 	ex := exchange.NewServer(a.holder, a.cfg.UploadSlots)
 	mux, err := peerconn.NewMux(map[string]any{exchange.Service: ex})
