--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -27,7 +27,7 @@
   fi
 }
 
-mutant "chunks are not verified" weights/set.go 's/if got := Sum\(b\); got != s.m.Chunks\[i\]/if got := Sum(b); false \&\& got != s.m.Chunks[i]/' ./weights 'TestSetNeverMixesVersions'
+mutant "chunks are not verified" weights/set.go 's/if got := s.m.Hash.Sum\(b\); got != s.m.Chunks\[i\]/if got := s.m.Hash.Sum(b); false \&\& got != s.m.Chunks[i]/' ./weights 'TestSetNeverMixesVersions'
 mutant "the origin's version is not held" standalone/agent/fetch.go 's/o.etag = got/_ = got/' ./standalone/agent 'TestLoaderNeverLoadsAVersion'
 mutant "the fence does not check" standalone/agent/fence.go 's/epoch < f.epoch/false/' ./standalone/agent 'TestFenceKeeps'
 mutant "orders before the fence is learned" standalone/agent/fence.go 's/if !f.learned/if false/' ./standalone/agent 'TestFenceGivesNothing'
@@ -52,11 +52,21 @@
 mutant "entries do not exchange" standalone/entry/spread.go 's/reply.Snapshot = s.encodedSnapshot\(\)/_ = reply/; s/second.Snapshot = s.encodedSnapshot\(\)/_ = second/' ./standalone/session 'TestAnEntryThatStartsEmpty'
 mutant "no slots for urgent requests" standalone/admission/gate.go 's/g.running < g.cfg.Slots-g.cfg.UrgentSlots/g.running < g.cfg.Slots/' ./standalone/admission 'TestUrgent'
 mutant "no fair shares" standalone/admission/fairqueue.go 's/h\[i\].finish != h\[j\].finish/false/' ./standalone/admission 'TestAccountsShare'
-mutant "no takeover" swarm/inject.go 's/maxRanks = 4/maxRanks = 1/; s/anybodySpread = 16/anybodySpread = 1600000/' ./swarm 'TestKilledReaders'
-mutant "corrupt members are asked again" swarm/download.go 's/maxCorrupt = 2/maxCorrupt = 2000/' ./swarm 'TestCorruptMember'
-mutant "every region reads for itself" swarm/inject.go 's/home\[0\].Region != d.self.Region/false/' ./swarm 'TestLongLink'
-mutant "nothing waits for a first reader" swarm/inject.go 's/return j.rank\[c\] == 0 &&/return false \&\&/' ./swarm 'TestHealthySwarm|TestLongLink|TestRegion'
+mutant "no takeover" swarm/schedule.go 's/maxRanks = 4/maxRanks = 1/; s/anybodySpread = 16/anybodySpread = 1600000/' ./swarm 'TestKilledReaders'
+mutant "corrupt members are asked again" swarm/neighbours.go 's/maxCorrupt = 2/maxCorrupt = 2000/' ./swarm 'TestCorruptMember'
+mutant "every region reads for itself" swarm/schedule.go 's/home\[0\].Region != d.self.Region/false/' ./swarm 'TestLongLink'
+mutant "nothing waits for a first reader" swarm/schedule.go 's/return j.rank\[c\] == 0 &&/return false \&\&/' ./swarm 'TestHealthySwarm|TestLongLink|TestRegion'
 mutant "engines' losses go unseen" standalone/agent/load.go 's/if t.live && !l.engineHas\(s, t.assignment\)/if false/' ./standalone/agent 'TestLoaderLoadsAgain'
+mutant "what may have run is sent again" gateway/policy/retry.go 's/case f.Verdict != verdict.NotRun \&\& !f.Repeatable:\n\t\treturn NoRetry/case false:\n\t\treturn NoRetry/' ./gateway/proxy 'Test'
+mutant "no retry budget" gateway/proxy/budget.go 's/if !b.allows\(h, purpose\)/if false/' ./gateway/proxy 'Test'
+mutant "streams begin on old weights" gateway/policy/stall.go 's/case !s.Begun \&\& s.Outdated:/case false:/' ./gateway/proxy 'Test'
+mutant "a withdrawn request is delivered" gateway/upstream/conn.go 's/_ = tcp.SetLinger\(0\)/_ = tcp/' ./gateway/upstream 'TestARequestThatWasWithdrawn'
+mutant "no endpoint is ejected" gateway/balance/health.go 's/h.ejections\+\+/_ = h/' ./gateway/balance 'TestSuite'
+mutant "an answer to another request is passed on" gateway/policy/answer.go 's/case a.OtherRequest:/case false:/' ./gateway/proxy 'Test'
+mutant "an old configuration takes a newer one'"'"'s place" gateway/proxy/proxy.go 's/c.Revision <= old.Revision/false/; s/c.Version < old.Version/false/' ./gateway/proxy 'Test'
+mutant "lapsed endpoints are not kept" roster/retention.go 's/if !now.Before\(end\)/if true/' ./roster 'Test'
+mutant "a lost watch is waited for" mirror/mirror.go 's/m.behind.Store\(revision\)\n\tif m.cancel != nil/m.behind.Store(revision)\n\tif false/' ./mirror 'Test'
+mutant "corrupt chunks at the endpoint are loaded" sidecar/stage/load.go 's/return set.Manifest\(\).Hash.Sum\(data\) == set.Manifest\(\).Chunks\[i\], nil/return true, nil/' ./sidecar/stage 'Test'
 
 echo "$passed passed, $failed failed"
 [ $failed = 0 ]
