--- a/gateway/proxy/world_test.go
+++ b/gateway/proxy/world_test.go
@@ -40,6 +40,7 @@
 type endpoint struct {
 	mu       sync.Mutex
 	requests []*http.Request
+	arrived  []time.Time
 	bodies   []string
 	// script has what is done with each request in turn; the last stays.
 	script []step
@@ -50,11 +51,13 @@
 
 // world is a gateway before endpoints e0, e1 and so on, on virtual time.
 type world struct {
-	g          *WithT
-	proxy      *proxy.Proxy
-	balancer   *balance.Balancer
-	endpoints  map[string]*endpoint
-	down       map[string]bool
+	g         *WithT
+	proxy     *proxy.Proxy
+	balancer  *balance.Balancer
+	endpoints map[string]*endpoint
+	down      map[string]bool
+	// linkDelay is how long what is sent to an endpoint is on its way.
+	linkDelay  time.Duration
 	minVersion atomic.Int64
 	// draw is what the gateway draws, in thousandths.
 	draw   atomic.Int64
@@ -126,8 +129,13 @@
 		return nil, syscall.ECONNREFUSED
 	}
 	near, far := net.Pipe()
-	go e.serve(far)
-	return near, nil
+	if w.linkDelay == 0 {
+		go e.serve(far)
+		return near, nil
+	}
+	arriving, server := net.Pipe()
+	go e.serve(server)
+	return newSlowLink(near, arriving, w.linkDelay), nil
 }
 
 func (e *endpoint) serve(c net.Conn) {
@@ -149,6 +157,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.requests = append(e.requests, r)
+	e.arrived = append(e.arrived, time.Now())
 	e.bodies = append(e.bodies, body)
 	s := e.script[0]
 	if len(e.script) > 1 {
@@ -171,6 +180,13 @@
 	return e.requests[0]
 }
 
+// arrivals returns when requests came.
+func (e *endpoint) arrivals() []time.Time {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.arrived
+}
+
 func (e *endpoint) count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
