--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -28,10 +28,10 @@
 }
 
 mutant "chunks are not verified" weights/set.go 's/if got := s.m.Hash.Sum\(b\); got != s.m.Chunks\[i\]/if got := s.m.Hash.Sum(b); false \&\& got != s.m.Chunks[i]/' ./weights 'TestSetNeverMixesVersions'
-mutant "the origin's version is not held" standalone/agent/fetch.go 's/o.etag = got/_ = got/' ./standalone/agent 'TestLoaderNeverLoadsAVersion'
-mutant "the fence does not check" standalone/agent/fence.go 's/epoch < f.epoch/false/' ./standalone/agent 'TestFenceKeeps'
-mutant "orders before the fence is learned" standalone/agent/fence.go 's/if !f.learned/if false/' ./standalone/agent 'TestFenceGivesNothing'
-mutant "an older directive is taken" standalone/agent/loader.go 's/if d.Revision < l.directive.Revision/if false/' ./standalone/agent 'TestLoaderIgnores'
+mutant "the origin's version is not held" standalone/agent/loader/fetch.go 's/o.etag = got/_ = got/' ./standalone/agent/loader 'TestLoaderNeverLoadsAVersion'
+mutant "the fence does not check" standalone/agent/loader/fence.go 's/epoch < f.epoch/false/' ./standalone/agent/loader 'TestFenceKeeps'
+mutant "orders before the fence is learned" standalone/agent/loader/fence.go 's/if !f.learned/if false/' ./standalone/agent/loader 'TestFenceGivesNothing'
+mutant "an older directive is taken" standalone/agent/loader/loader.go 's/if d.Revision < l.directive.Revision/if false/' ./standalone/agent/loader 'TestLoaderIgnores'
 mutant "cut answers pass for whole" standalone/forward/forward.go 's/errors.Is\(err, io.EOF\) && b.mark.Matches\(b.resp.Trailer\)/true/' ./standalone/session 'TestAStreamIsWhole'
 mutant "what may have run is tried again" standalone/dispatch/dispatch.go 's/return e.Verdict == verdict.NotRun \|\| .*/return true/' ./standalone/dispatch 'TestSuite'
 mutant "retries without a budget" standalone/dispatch/budget.go 's/if b.balance < 1/if false/' ./standalone/dispatch 'TestSuite'
@@ -56,7 +56,7 @@
 mutant "corrupt members are asked again" swarm/neighbours.go 's/maxCorrupt = 2/maxCorrupt = 2000/' ./swarm 'TestCorruptMember'
 mutant "every region reads for itself" swarm/schedule.go 's/home\[0\].Region != d.self.Region/false/' ./swarm 'TestLongLink'
 mutant "nothing waits for a first reader" swarm/schedule.go 's/return j.rank\[c\] == 0 &&/return false \&\&/' ./swarm 'TestHealthySwarm|TestLongLink|TestRegion'
-mutant "engines' losses go unseen" standalone/agent/load.go 's/if t.live && !l.engineHas\(s, t.assignment\)/if false/' ./standalone/agent 'TestLoaderLoadsAgain'
+mutant "engines' losses go unseen" standalone/agent/loader/load.go 's/if t.live && !l.engineHas\(s, t.assignment\)/if false/' ./standalone/agent/loader 'TestLoaderLoadsAgain'
 mutant "what may have run is sent again" gateway/policy/retry.go 's/case f.Verdict != verdict.NotRun \&\& !f.Repeatable:\n\t\treturn NoRetry/case false:\n\t\treturn NoRetry/' ./gateway/proxy 'Test'
 mutant "no retry budget" gateway/proxy/budget.go 's/if !b.allows\(h, purpose\)/if false/' ./gateway/proxy 'Test'
 mutant "streams begin on old weights" gateway/policy/stall.go 's/case !s.Begun \&\& s.Outdated:/case false:/' ./gateway/proxy 'Test'
--- a/standalone/agent/agent.go
+++ b/standalone/agent/agent.go
@@ -19,6 +19,7 @@
 	"github.com/silverdeck/silverdeck/origin"
 	"github.com/silverdeck/silverdeck/peerconn"
 	"github.com/silverdeck/silverdeck/standalone/admission"
+	"github.com/silverdeck/silverdeck/standalone/agent/loader"
 	"github.com/silverdeck/silverdeck/standalone/engine"
 	"github.com/silverdeck/silverdeck/standalone/hop"
 	"github.com/silverdeck/silverdeck/standalone/peer"
@@ -26,7 +27,6 @@
 	"github.com/silverdeck/silverdeck/standalone/settings"
 	"github.com/silverdeck/silverdeck/swarm"
 	"github.com/silverdeck/silverdeck/telemetry"
-	"github.com/silverdeck/silverdeck/weights"
 )
 
 // errLeaving tells that the agent takes no new work.
@@ -39,8 +39,8 @@
 	log      *log.Logger
 	registry metrics.Registry
 	pool     *peerconn.Pool
-	holder   *holder
-	loader   *loader
+	loader   *loader.Loader
+	fence    *loader.Fence
 	reporter *reporter
 	runner   *runner
 	server   *http.Server
@@ -61,7 +61,8 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{cfg: cfg, network: network, log: l, registry: registry, pool: peerconn.NewPool(d), holder: newHolder(cfg.HoldBytes)}
+	a := &Agent{cfg: cfg, network: network, log: l, registry: registry, pool: peerconn.NewPool(d)}
+	a.fence = loader.NewFence(engine.NewClient(cfg.Engine, plain.HTTPClient()))
 	a.loader = a.newLoader(d, plain)
 	a.reporter = a.newReporter()
 	a.runner = a.newRunner(plain, tracer)
@@ -69,22 +70,20 @@
 }
 
 // newLoader returns what fetches and loads weights. Other agents are reached by d,
-// the origin and the engine by plain.
-func (a *Agent) newLoader(d, plain *secure.Dialer) *loader {
-	return &loader{
-		self:     swarm.Member{VM: a.cfg.VM, Addr: a.cfg.Peer, Zone: a.cfg.Zone, Region: a.cfg.Region},
-		plain:    a.cfg.Plain,
-		holder:   a.holder,
-		fence:    newFence(engine.NewClient(a.cfg.Engine, plain.HTTPClient())),
-		peers:    exchange.NewClient(a.pool, d.HTTPClient(), d.Scheme()),
-		origin:   origin.NewClient(a.cfg.Origin, plain.HTTPClient()),
-		homes:    a.homes,
-		news:     func() { a.reporter.now() },
-		engineAt: d.Scheme() + "://" + a.cfg.Peer,
-		log:      a.log,
-		tasks:    map[weights.Digest]*task{},
-		wake:     make(chan struct{}, 1),
-	}
+// the origin by plain.
+func (a *Agent) newLoader(d, plain *secure.Dialer) *loader.Loader {
+	return loader.New(loader.Config{
+		Self:      swarm.Member{VM: a.cfg.VM, Addr: a.cfg.Peer, Zone: a.cfg.Zone, Region: a.cfg.Region},
+		Plain:     a.cfg.Plain,
+		HoldBytes: a.cfg.HoldBytes,
+		Fence:     a.fence,
+		Peers:     exchange.NewClient(a.pool, d.HTTPClient(), d.Scheme()),
+		Origin:    origin.NewClient(a.cfg.Origin, plain.HTTPClient()),
+		Homes:     a.homes,
+		News:      func() { a.reporter.now() },
+		EngineAt:  d.Scheme() + "://" + a.cfg.Peer,
+		Log:       a.log,
+	})
 }
 
 // newReporter returns what tells the home entries of this endpoint.
@@ -107,7 +106,7 @@
 		http:    plain.HTTPClient(),
 		gate:    admission.NewGate(admission.Config{Slots: a.cfg.Slots, UrgentSlots: a.cfg.UrgentSlots, Queue: a.cfg.Queue}),
 		slots:   a.cfg.Slots,
-		serves:  a.loader.serves,
+		serves:  a.loader.Serves,
 		tracer:  tracer,
 		running: drain.NewTracker(),
 	}
@@ -115,7 +114,7 @@
 
 // buildServers makes the servers of the agent's ports.
 func (a *Agent) buildServers() error {
-	ex := exchange.NewServer(a.holder, a.cfg.UploadSlots)
+	ex := exchange.NewServer(a.loader.Holdings(), a.cfg.UploadSlots)
 	mux, err := peerconn.NewMux(map[string]any{exchange.Service: ex})
 	if err != nil {
 		return err
@@ -143,7 +142,7 @@
 	go func() { _ = a.server.Serve(l) }()
 	go func() { _ = a.observe.Serve(o) }()
 	go a.reporter.run(ctx)
-	go a.loader.run(ctx)
+	go a.loader.Run(ctx)
 	a.log.Info("agent started", "peer", a.cfg.Peer, "engine", a.cfg.Engine)
 	return nil
 }
@@ -173,13 +172,13 @@
 	if a.leaving.Load() || a.drained.Load() {
 		r.State = peer.StateLeaving
 	}
-	r.Revision, r.Loaded, r.Progress = a.loader.status()
+	r.Revision, r.Loaded, r.Progress = a.loader.Status()
 	r.Load = a.runner.load()
 }
 
 // apply carries out a directive.
 func (a *Agent) apply(d peer.Directive) {
-	a.loader.apply(d)
+	a.loader.Apply(d)
 	if a.drained.Swap(d.Drained) == d.Drained {
 		return
 	}
@@ -212,7 +211,7 @@
 		// Sent and Received are bytes of control messages.
 		Sent     int64 `json:"controlSent"`
 		Received int64 `json:"controlReceived"`
-	}{r, a.loader.fence.at(), a.homes(), a.runner.cut.Load(), sent, received}
+	}{r, a.fence.At(), a.homes(), a.runner.cut.Load(), sent, received}
 }
 
 // Refuse makes the agent turn requests away without telling anybody, as one
--- a/standalone/agent/fence.go
+++ b/standalone/agent/loader/fence.go
@@ -1,4 +1,4 @@
-package agent
+package loader
 
 import (
 	"context"
@@ -23,13 +23,13 @@
 	return fmt.Sprintf("agent: order of epoch %d, the fence is at %d", e.Order, e.Fence)
 }
 
-// fence is the one place from which the engine on this VM gets orders. It
+// Fence is the one place from which the engine on this VM gets orders. It
 // gives none of a lower epoch than it has seen anywhere, whether or not the
 // engine checks the same; and none before it has learned what was in force.
 // Orders go one at a time.
 //
 // Spec step: fence.pml, "order" and "learn".
-type fence struct {
+type Fence struct {
 	engine engine.Engine
 	// turn is held while an order is under way. It is not the lock of the
 	// epoch: a load takes minutes, and what is learned meanwhile must not wait.
@@ -40,20 +40,21 @@
 	learned bool
 }
 
-func newFence(e engine.Engine) *fence {
-	return &fence{engine: e, turn: make(chan struct{}, 1)}
+// NewFence returns a Fence before e that has learned nothing.
+func NewFence(e engine.Engine) *Fence {
+	return &Fence{engine: e, turn: make(chan struct{}, 1)}
 }
 
-// learn raises the fence to an epoch that was seen somewhere.
-func (f *fence) learn(epoch int64) {
+// Learn raises the fence to an epoch that was seen somewhere.
+func (f *Fence) Learn(epoch int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.epoch = max(f.epoch, epoch)
 }
 
-// learnEngine raises the fence to the engine's own epoch and returns the
-// engine's state. Until it has succeeded once, order refuses everything.
-func (f *fence) learnEngine(ctx context.Context) (engine.State, error) {
+// LearnEngine raises the fence to the engine's own epoch and returns the
+// engine's state. Until it has succeeded once, Order refuses everything.
+func (f *Fence) LearnEngine(ctx context.Context) (engine.State, error) {
 	s, err := f.engine.State(ctx)
 	if err != nil {
 		return s, err
@@ -65,10 +66,10 @@
 	return s, nil
 }
 
-// order gives o to the engine unless the fence forbids it. The next order
+// Order gives o to the engine unless the fence forbids it. The next order
 // waits until the engine has answered, so that no older order can follow a
 // newer one to an engine that does not check.
-func (f *fence) order(ctx context.Context, o engine.Order) error {
+func (f *Fence) Order(ctx context.Context, o engine.Order) error {
 	select {
 	case f.turn <- struct{}{}:
 	case <-ctx.Done():
@@ -82,7 +83,7 @@
 }
 
 // enter checks an order's epoch and raises the fence to it.
-func (f *fence) enter(epoch int64) error {
+func (f *Fence) enter(epoch int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.learned {
@@ -95,8 +96,8 @@
 	return nil
 }
 
-// at returns the fence's epoch.
-func (f *fence) at() int64 {
+// At returns the fence's epoch.
+func (f *Fence) At() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.epoch
--- a/standalone/agent/fence_test.go
+++ b/standalone/agent/loader/fence_test.go
@@ -1,4 +1,4 @@
-package agent_test
+package loader_test
 
 import (
 	"context"
@@ -7,32 +7,38 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"github.com/silverdeck/silverdeck/standalone/agent"
+	"github.com/silverdeck/silverdeck/standalone/agent/loader"
 	"github.com/silverdeck/silverdeck/standalone/engine"
 )
 
+// learn makes f learn the engine's epoch.
+func learn(f *loader.Fence) error {
+	_, err := f.LearnEngine(context.Background())
+	return err
+}
+
 func TestFenceGivesNothingBeforeItHasLearned(t *testing.T) {
 	g := NewWithT(t)
 	e := &fakeEngine{checks: true, epoch: 7}
-	f := agent.NewFence(e)
-	g.Expect(f.Order(context.Background(), engine.Order{Epoch: 9})).To(MatchError(&agent.FenceError{Order: 9, Unknown: true}))
-	g.Expect(f.LearnEngine(context.Background())).To(Succeed())
-	g.Expect(f.Order(context.Background(), engine.Order{Epoch: 6})).To(MatchError(&agent.FenceError{Order: 6, Fence: 7}))
+	f := loader.NewFence(e)
+	g.Expect(f.Order(context.Background(), engine.Order{Epoch: 9})).To(MatchError(&loader.FenceError{Order: 9, Unknown: true}))
+	g.Expect(learn(f)).To(Succeed())
+	g.Expect(f.Order(context.Background(), engine.Order{Epoch: 6})).To(MatchError(&loader.FenceError{Order: 6, Fence: 7}))
 	g.Expect(f.Order(context.Background(), engine.Order{Epoch: 9})).To(Succeed())
 }
 
 func TestFenceLearnsWhileAnOrderIsUnderWay(t *testing.T) {
 	g := NewWithT(t)
 	e := &fakeEngine{gate: make(chan struct{}), entered: make(chan struct{})}
-	f := agent.NewFence(e)
-	g.Expect(f.LearnEngine(context.Background())).To(Succeed())
+	f := loader.NewFence(e)
+	g.Expect(learn(f)).To(Succeed())
 	ordered := make(chan error, 1)
 	go func() { ordered <- f.Order(context.Background(), engine.Order{Epoch: 2}) }()
 	<-e.entered
 	f.Learn(5)
 	e.gate <- struct{}{}
 	g.Expect(<-ordered).To(Succeed())
-	g.Expect(f.Order(context.Background(), engine.Order{Epoch: 4})).To(MatchError(&agent.FenceError{Order: 4, Fence: 5}))
+	g.Expect(f.Order(context.Background(), engine.Order{Epoch: 4})).To(MatchError(&loader.FenceError{Order: 4, Fence: 5}))
 }
 
 // The engine never takes an order of a lower epoch than one before, whatever
@@ -40,12 +46,12 @@
 func TestFenceKeepsEpochsInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := &fakeEngine{checks: rapid.Bool().Draw(t, "checks")}
-		f := agent.NewFence(e)
+		f := loader.NewFence(e)
 		t.Repeat(map[string]func(*rapid.T){
 			"learn": func(t *rapid.T) {
 				f.Learn(rapid.Int64Range(0, 20).Draw(t, "epoch"))
 			},
-			"ask": func(*rapid.T) { _ = f.LearnEngine(context.Background()) },
+			"ask": func(*rapid.T) { _ = learn(f) },
 			"order": func(t *rapid.T) {
 				_ = f.Order(context.Background(), engine.Order{Epoch: rapid.Int64Range(0, 20).Draw(t, "epoch")})
 			},
--- a/standalone/agent/fetch.go
+++ b/standalone/agent/loader/fetch.go
@@ -1,4 +1,4 @@
-package agent
+package loader
 
 import (
 	"context"
@@ -16,19 +16,19 @@
 )
 
 // fetch fills the set of t and verifies it.
-func (l *loader) fetch(ctx context.Context, t *task, a peer.Assignment) {
+func (l *Loader) fetch(ctx context.Context, t *task, a peer.Assignment) {
 	for ctx.Err() == nil {
 		err := l.fetchOnce(ctx, t, a)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		l.log.Warn("fetch failed", "rollout", a.Rollout, "root", a.Root.Short(), "err", err)
+		l.cfg.Log.Warn("fetch failed", "rollout", a.Rollout, "root", a.Root.Short(), "err", err)
 		l.setFailed(t, err.Error())
 		wait.For(ctx, manifestRetry)
 	}
 }
 
-func (l *loader) fetchOnce(ctx context.Context, t *task, a peer.Assignment) error {
+func (l *Loader) fetchOnce(ctx context.Context, t *task, a peer.Assignment) error {
 	m, err := l.manifest(ctx, a)
 	if err != nil {
 		return err
@@ -38,8 +38,8 @@
 		return err
 	}
 	l.clearFailed(t)
-	source := &originReader{source: l.origin, path: a.Path}
-	d := swarm.NewDownload(l.self, a.Members, set, l.peers, source,
+	source := &originReader{source: l.cfg.Origin, path: a.Path}
+	d := swarm.NewDownload(l.cfg.Self, a.Members, set, l.cfg.Peers, source,
 		swarm.WithOriginBudget(float64(a.Budget.BytesPerSecond), a.Budget.Copies))
 	l.holder.SetDownload(a.Root, d)
 	if err := d.Run(ctx); err != nil {
@@ -52,33 +52,33 @@
 	t.verified = true
 	l.mu.Unlock()
 	l.signal()
-	l.news()
-	l.log.Info("weights complete", "rollout", a.Rollout, "root", a.Root.Short(), "stats", fmt.Sprintf("%+v", d.Stats()))
+	l.cfg.News()
+	l.cfg.Log.Info("weights complete", "rollout", a.Rollout, "root", a.Root.Short(), "stats", fmt.Sprintf("%+v", d.Stats()))
 	return nil
 }
 
 // manifest gets the manifest that a names: from memory, from other members,
 // from an entry, and from the origin at last.
-func (l *loader) manifest(ctx context.Context, a peer.Assignment) (*weights.Manifest, error) {
+func (l *Loader) manifest(ctx context.Context, a peer.Assignment) (*weights.Manifest, error) {
 	if s := l.holder.Set(a.Root); s != nil {
 		return s.Manifest(), nil
 	}
 	var addrs []string
 	for _, m := range a.Members {
-		if m.VM != l.self.VM && len(addrs) < manifestPeers {
+		if m.VM != l.cfg.Self.VM && len(addrs) < manifestPeers {
 			addrs = append(addrs, m.Addr)
 		}
 	}
-	addrs = append(addrs, l.homes()...)
+	addrs = append(addrs, l.cfg.Homes()...)
 	for _, addr := range addrs {
 		mctx, cancel := context.WithTimeout(ctx, stateLimit)
-		m, err := l.peers.Manifest(mctx, addr, a.Root)
+		m, err := l.cfg.Peers.Manifest(mctx, addr, a.Root)
 		cancel()
 		if err == nil {
 			return m, nil
 		}
 	}
-	b, err := l.origin.Manifest(ctx, a.Path)
+	b, err := l.cfg.Origin.Manifest(ctx, a.Path)
 	if err != nil {
 		return nil, err
 	}
@@ -86,7 +86,7 @@
 }
 
 // inUse returns the weights that must stay held: what is assigned, and root.
-func (l *loader) inUse(root weights.Digest) map[weights.Digest]bool {
+func (l *Loader) inUse(root weights.Digest) map[weights.Digest]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[weights.Digest]bool{root: true}
--- a/standalone/agent/holder.go
+++ b/standalone/agent/loader/holder.go
@@ -1,4 +1,4 @@
-package agent
+package loader
 
 import (
 	"fmt"
--- a/standalone/agent/load.go
+++ b/standalone/agent/loader/load.go
@@ -1,4 +1,4 @@
-package agent
+package loader
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 )
 
 // load has the engine load the verified weights of t.
-func (l *loader) load(ctx context.Context, t *task) {
+func (l *Loader) load(ctx context.Context, t *task) {
 	l.mu.Lock()
 	a := t.assignment
 	l.mu.Unlock()
@@ -22,19 +22,19 @@
 	switch {
 	case err == nil:
 		l.setLive(t, a)
-		l.log.Info("engine serves", "rollout", a.Rollout, "model", a.Model, "adapter", a.Adapter, "weights", a.Weights, "epoch", a.Epoch)
+		l.cfg.Log.Info("engine serves", "rollout", a.Rollout, "model", a.Model, "adapter", a.Adapter, "weights", a.Weights, "epoch", a.Epoch)
 		return
 	case errors.As(err, &stale):
-		l.fence.learn(stale.Epoch)
+		l.cfg.Fence.Learn(stale.Epoch)
 	case errors.As(err, &fenced):
-		l.log.Debug("load held back", "err", err)
+		l.cfg.Log.Debug("load held back", "err", err)
 		return
 	}
-	l.log.Warn("load failed", "rollout", a.Rollout, "root", a.Root.Short(), "err", err)
+	l.cfg.Log.Warn("load failed", "rollout", a.Rollout, "root", a.Root.Short(), "err", err)
 	l.setFailed(t, err.Error())
 }
 
-func (l *loader) loadOnce(ctx context.Context, a peer.Assignment) error {
+func (l *Loader) loadOnce(ctx context.Context, a peer.Assignment) error {
 	set := l.holder.Set(a.Root)
 	if set == nil {
 		return &FullError{}
@@ -48,13 +48,13 @@
 	}
 	octx, cancel := context.WithTimeout(ctx, loadLimit)
 	defer cancel()
-	return l.fence.order(octx, engine.Order{
+	return l.cfg.Fence.Order(octx, engine.Order{
 		Epoch:   a.Epoch,
 		Kind:    kind,
 		Model:   a.Model,
 		Adapter: a.Adapter,
 		Weights: a.Weights,
-		Source:  l.engineAt + exchange.WeightsPath + a.Root.String(),
+		Source:  l.cfg.EngineAt + exchange.WeightsPath + a.Root.String(),
 		Digest:  set.Manifest().Whole.String(),
 		Size:    set.Manifest().Size,
 	})
@@ -62,12 +62,12 @@
 
 // askEngine learns the engine's epoch and notes which versions it no longer
 // has: an engine that was restarted comes up empty.
-func (l *loader) askEngine(ctx context.Context) bool {
+func (l *Loader) askEngine(ctx context.Context) bool {
 	sctx, cancel := context.WithTimeout(ctx, stateLimit)
 	defer cancel()
-	s, err := l.fence.learnEngine(sctx)
+	s, err := l.cfg.Fence.LearnEngine(sctx)
 	if err != nil {
-		l.log.Warn("engine does not tell its state", "err", err)
+		l.cfg.Log.Warn("engine does not tell its state", "err", err)
 		return false
 	}
 	l.mu.Lock()
@@ -82,7 +82,7 @@
 }
 
 // engineHas returns whether the engine serves what a assigns.
-func (l *loader) engineHas(s engine.State, a peer.Assignment) bool {
+func (l *Loader) engineHas(s engine.State, a peer.Assignment) bool {
 	set := l.holder.Set(a.Root)
 	return slices.ContainsFunc(s.Loaded, func(o engine.Loaded) bool {
 		return o.Model == a.Model && o.Adapter == a.Adapter && (set == nil || o.Digest == set.Manifest().Whole.String())
@@ -91,16 +91,16 @@
 
 // lost notes that the engine no longer serves what it had loaded for t. The
 // caller holds the lock.
-func (l *loader) lost(t *task) {
+func (l *Loader) lost(t *task) {
 	a := t.assignment
-	l.log.Warn("engine lost a version", "rollout", a.Rollout, "model", a.Model, "adapter", a.Adapter, "weights", a.Weights)
+	l.cfg.Log.Warn("engine lost a version", "rollout", a.Rollout, "model", a.Model, "adapter", a.Adapter, "weights", a.Weights)
 	t.live = false
 	l.loaded = slices.DeleteFunc(l.loaded, func(o peer.Loaded) bool { return o.Root == a.Root })
-	l.news()
+	l.cfg.News()
 }
 
 // checkDue returns whether it is time to ask the engine what it has.
-func (l *loader) checkDue() bool {
+func (l *Loader) checkDue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.loaded) > 0 && time.Since(l.checkedAt) >= checkEvery
--- a/standalone/agent/loader.go
+++ b/standalone/agent/loader/loader.go
@@ -1,4 +1,10 @@
-package agent
+// Package loader brings the engine beside an agent to the weights that the newest
+// directive names: it fetches and verifies them and gives fenced orders.
+//
+// It owns the weights held in memory, how far each assignment has come, and the
+// fence, each under a lock. It relies on the engine, other agents, the origin and
+// the directives of entries.
+package loader
 
 import (
 	"context"
@@ -8,6 +14,7 @@
 
 	"github.com/charmbracelet/log"
 
+	"github.com/silverdeck/silverdeck/exchange"
 	"github.com/silverdeck/silverdeck/origin"
 	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/swarm"
@@ -49,18 +56,32 @@
 	Manifest(ctx context.Context, addr string, root weights.Digest) (*weights.Manifest, error)
 }
 
-// loader brings the engine to what the newest directive says.
-type loader struct {
-	self     swarm.Member
-	plain    bool
-	holder   *holder
-	fence    *fence
-	peers    Peers
-	origin   origin.Source
-	homes    func() []string
-	news     func()
-	engineAt string
-	log      *log.Logger
+// Config holds what a Loader relies on.
+type Config struct {
+	// Self is this VM as other members of a distribution know it.
+	Self swarm.Member
+	// Plain is set beside a plain service, which loads nothing.
+	Plain bool
+	// HoldBytes bounds the weights held in memory.
+	HoldBytes int64
+	// Fence gives orders to the engine.
+	Fence  *Fence
+	Peers  Peers
+	Origin origin.Source
+	// Homes returns the entries to ask for manifests.
+	Homes func() []string
+	// News is called when there is something new to report.
+	News func()
+	// EngineAt is the base URL at which the engine reads weights from this process.
+	EngineAt string
+	Log      *log.Logger
+}
+
+// Loader brings the engine to what the newest directive says. It is safe for
+// concurrent use.
+type Loader struct {
+	cfg    Config
+	holder *holder
 
 	mu        sync.Mutex
 	directive peer.Directive
@@ -70,9 +91,19 @@
 	wake      chan struct{}
 }
 
-// apply takes in a directive, unless a newer one is known.
-func (l *loader) apply(d peer.Directive) {
-	l.fence.learn(d.Revision)
+// New returns a Loader without a directive.
+func New(cfg Config) *Loader {
+	return &Loader{cfg: cfg, holder: newHolder(cfg.HoldBytes), tasks: map[weights.Digest]*task{}, wake: make(chan struct{}, 1)}
+}
+
+// Holdings is what this VM can give to others.
+func (l *Loader) Holdings() exchange.Holdings {
+	return l.holder
+}
+
+// Apply takes in a directive, unless a newer one is known.
+func (l *Loader) Apply(d peer.Directive) {
+	l.cfg.Fence.Learn(d.Revision)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if d.Revision < l.directive.Revision {
@@ -82,20 +113,20 @@
 	l.signal()
 }
 
-// signal makes run look again.
-func (l *loader) signal() {
+// signal makes Run look again.
+func (l *Loader) signal() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run reconciles until ctx ends.
-func (l *loader) run(ctx context.Context) {
+// Run reconciles until ctx ends.
+func (l *Loader) Run(ctx context.Context) {
 	t := time.NewTicker(reconcileEvery)
 	defer t.Stop()
 	for ctx.Err() == nil {
-		if !l.plain {
+		if !l.cfg.Plain {
 			l.reconcile(ctx)
 		}
 		select {
@@ -106,7 +137,7 @@
 	}
 }
 
-func (l *loader) reconcile(ctx context.Context) {
+func (l *Loader) reconcile(ctx context.Context) {
 	l.mu.Lock()
 	l.startMissing(ctx)
 	l.stopUnwanted()
@@ -122,7 +153,7 @@
 
 // startMissing begins to fetch what is newly assigned and tells running
 // downloads about members that came or went.
-func (l *loader) startMissing(ctx context.Context) {
+func (l *Loader) startMissing(ctx context.Context) {
 	for _, a := range l.directive.Assignments {
 		if t := l.tasks[a.Root]; t != nil {
 			l.update(t, a)
@@ -136,7 +167,7 @@
 }
 
 // update gives a running task its new assignment.
-func (l *loader) update(t *task, a peer.Assignment) {
+func (l *Loader) update(t *task, a peer.Assignment) {
 	old := t.assignment
 	t.assignment = a
 	d := l.holder.Download(a.Root)
@@ -153,7 +184,7 @@
 
 // stopUnwanted ends tasks that are no longer assigned. What they fetched stays
 // held, for other agents and for an undo, until room is needed.
-func (l *loader) stopUnwanted() {
+func (l *Loader) stopUnwanted() {
 	for root, t := range l.tasks {
 		wanted := slices.ContainsFunc(l.directive.Assignments, func(a peer.Assignment) bool { return a.Root == root })
 		if !wanted {
@@ -165,7 +196,7 @@
 
 // dueLoads returns the tasks whose weights can be loaded now, models before
 // their adapters.
-func (l *loader) dueLoads() []*task {
+func (l *Loader) dueLoads() []*task {
 	var due []*task
 	now := time.Now()
 	for _, a := range l.directive.Assignments {
@@ -178,29 +209,29 @@
 	return due
 }
 
-func (l *loader) setFailed(t *task, text string) {
+func (l *Loader) setFailed(t *task, text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if t.failed != text {
-		defer l.news()
+		defer l.cfg.News()
 	}
 	t.failed = text
 	t.retryAt = time.Now().Add(loadRetry)
 }
 
-func (l *loader) clearFailed(t *task) {
+func (l *Loader) clearFailed(t *task) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t.failed = ""
 	t.retryAt = time.Time{}
 }
 
-func (l *loader) setLive(t *task, a peer.Assignment) {
+func (l *Loader) setLive(t *task, a peer.Assignment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t.live = true
 	t.failed = ""
-	defer l.news()
+	defer l.cfg.News()
 	l.loaded = slices.DeleteFunc(l.loaded, func(o peer.Loaded) bool { return o.Model == a.Model && o.Adapter == a.Adapter })
 	l.loaded = append(l.loaded, peer.Loaded{
 		Rollout: a.Rollout, Model: a.Model, Adapter: a.Adapter, Weights: a.Weights, Root: a.Root, Epoch: a.Epoch,
@@ -212,8 +243,8 @@
 	}
 }
 
-// status returns what the engine serves and how far each assignment is.
-func (l *loader) status() (revision int64, loaded []peer.Loaded, progress []peer.Progress) {
+// Status returns what the engine serves and how far each assignment is.
+func (l *Loader) Status() (revision int64, loaded []peer.Loaded, progress []peer.Progress) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.directive.Assignments {
@@ -230,8 +261,8 @@
 	return l.directive.Revision, slices.Clone(l.loaded), progress
 }
 
-// serves returns whether the engine serves just this version.
-func (l *loader) serves(model, adapter, root string) bool {
+// Serves returns whether the engine serves just this version.
+func (l *Loader) Serves(model, adapter, root string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.ContainsFunc(l.loaded, func(o peer.Loaded) bool {
--- a/standalone/agent/loader_test.go
+++ b/standalone/agent/loader/loader_test.go
@@ -1,18 +1,21 @@
-package agent_test
+package loader_test
 
 import (
 	"bytes"
 	"context"
 	"encoding/json"
+	"io"
+
 	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
 
+	"github.com/charmbracelet/log"
 	. "github.com/onsi/gomega"
 
 	"github.com/silverdeck/silverdeck/origin"
-	"github.com/silverdeck/silverdeck/standalone/agent"
+	"github.com/silverdeck/silverdeck/standalone/agent/loader"
 	"github.com/silverdeck/silverdeck/standalone/engine"
 	"github.com/silverdeck/silverdeck/standalone/peer"
 	"github.com/silverdeck/silverdeck/swarm"
@@ -146,11 +149,30 @@
 	}
 }
 
+func newLoader(self swarm.Member, hold int64, e engine.Engine, o origin.Source) *loader.Loader {
+	return loader.New(loader.Config{
+		Self:      self,
+		HoldBytes: hold,
+		Fence:     loader.NewFence(e),
+		Peers:     noPeers{},
+		Origin:    o,
+		Homes:     func() []string { return nil },
+		News:      func() {},
+		Log:       log.New(io.Discard),
+	})
+}
+
+// holds returns whether the weights that root names are held complete.
+func holds(l *loader.Loader, root weights.Digest) bool {
+	s := l.Holdings().Set(root)
+	return s != nil && s.Complete()
+}
+
 // inBubble runs f on virtual time with a loader before e.
-func inBubble(t *testing.T, e engine.Engine, o origin.Source, hold int64, f func(g Gomega, l agent.Loader)) {
+func inBubble(t *testing.T, e engine.Engine, o origin.Source, hold int64, f func(g Gomega, l *loader.Loader)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		l := agent.NewLoader(self, hold, e, noPeers{}, o)
+		l := newLoader(self, hold, e, o)
 		done := make(chan struct{})
 		go func() {
 			l.Run(ctx)
@@ -166,7 +188,7 @@
 func TestLoaderLoadsAsSoonAsWeightsAreComplete(t *testing.T) {
 	o, m := newFakeOrigin(bytes.Repeat([]byte("weights "), 4096))
 	e := &fakeEngine{checks: true}
-	inBubble(t, e, o, 1<<20, func(g Gomega, l agent.Loader) {
+	inBubble(t, e, o, 1<<20, func(g Gomega, l *loader.Loader) {
 		began := time.Now()
 		l.Apply(peer.Directive{Revision: 1, Assignments: []peer.Assignment{assignment(m, 1)}})
 		for len(e.taken()) == 0 && time.Since(began) < time.Minute {
@@ -181,13 +203,13 @@
 	o, m := newFakeOrigin(bytes.Repeat([]byte("weights "), 4096))
 	e := &fakeEngine{checks: true}
 	slow := &slowOrigin{fakeOrigin: o}
-	inBubble(t, e, slow, 1<<20, func(g Gomega, l agent.Loader) {
+	inBubble(t, e, slow, 1<<20, func(g Gomega, l *loader.Loader) {
 		l.Apply(peer.Directive{Revision: 1, Assignments: []peer.Assignment{assignment(m, 1)}})
 		time.Sleep(3 * readTime)
 		o.replace(bytes.Repeat([]byte("another "), 4096))
 		time.Sleep(time.Minute)
 		g.Expect(e.taken()).To(BeEmpty())
-		g.Expect(l.Holds(m.Root())).To(BeFalse())
+		g.Expect(holds(l, m.Root())).To(BeFalse())
 		_, _, progress := l.Status()
 		g.Expect(progress[0].Stats.Blocked).To(ContainSubstring("no longer has this version"))
 	})
@@ -196,7 +218,7 @@
 func TestLoaderTellsWhyALoadFailedAndTriesAgain(t *testing.T) {
 	o, m := newFakeOrigin(bytes.Repeat([]byte("weights "), 4096))
 	e := &fakeEngine{checks: true, fail: &engine.OrderError{Status: 500, Text: "out of memory"}}
-	inBubble(t, e, o, 1<<20, func(g Gomega, l agent.Loader) {
+	inBubble(t, e, o, 1<<20, func(g Gomega, l *loader.Loader) {
 		l.Apply(peer.Directive{Revision: 1, Assignments: []peer.Assignment{assignment(m, 1)}})
 		time.Sleep(time.Second)
 		_, _, progress := l.Status()
@@ -215,13 +237,13 @@
 func TestLoaderWaitsForItsBatch(t *testing.T) {
 	o, m := newFakeOrigin(bytes.Repeat([]byte("weights "), 4096))
 	e := &fakeEngine{checks: true}
-	inBubble(t, e, o, 1<<20, func(g Gomega, l agent.Loader) {
+	inBubble(t, e, o, 1<<20, func(g Gomega, l *loader.Loader) {
 		a := assignment(m, 1)
 		a.Activate = false
 		l.Apply(peer.Directive{Revision: 1, Assignments: []peer.Assignment{a}})
 		time.Sleep(time.Minute)
 		g.Expect(e.taken()).To(BeEmpty())
-		g.Expect(l.Holds(m.Root())).To(BeTrue(), "the weights travel all the same")
+		g.Expect(holds(l, m.Root())).To(BeTrue(), "the weights travel all the same")
 		a.Activate = true
 		l.Apply(peer.Directive{Revision: 1, Assignments: []peer.Assignment{a}})
 		time.Sleep(time.Second)
@@ -234,7 +256,7 @@
 	o2, m2 := newFakeOrigin(bytes.Repeat([]byte("another "), 4096))
 	e := &fakeEngine{checks: true}
 	both := twoVersions{"models/reader/v1": o, "models/reader/v2": o2}
-	inBubble(t, e, both, 1<<20, func(g Gomega, l agent.Loader) {
+	inBubble(t, e, both, 1<<20, func(g Gomega, l *loader.Loader) {
 		first, second := assignment(m, 1), assignment(m2, 2)
 		second.Path, second.Weights = "models/reader/v2", "v2"
 		l.Apply(peer.Directive{Revision: 1, Assignments: []peer.Assignment{first}})
@@ -257,7 +279,7 @@
 func TestLoaderIgnoresADirectiveOfAnOlderConfiguration(t *testing.T) {
 	o, m := newFakeOrigin(bytes.Repeat([]byte("weights "), 4096))
 	e := &fakeEngine{}
-	inBubble(t, e, o, 1<<20, func(g Gomega, l agent.Loader) {
+	inBubble(t, e, o, 1<<20, func(g Gomega, l *loader.Loader) {
 		l.Apply(peer.Directive{Revision: 5})
 		l.Apply(peer.Directive{Revision: 4, Assignments: []peer.Assignment{assignment(m, 4)}})
 		time.Sleep(time.Minute)
@@ -269,7 +291,7 @@
 
 func TestLoaderRefusesWeightsThatDoNotFit(t *testing.T) {
 	o, m := newFakeOrigin(bytes.Repeat([]byte("weights "), 4096))
-	inBubble(t, &fakeEngine{}, o, 1000, func(g Gomega, l agent.Loader) {
+	inBubble(t, &fakeEngine{}, o, 1000, func(g Gomega, l *loader.Loader) {
 		l.Apply(peer.Directive{Revision: 1, Assignments: []peer.Assignment{assignment(m, 1)}})
 		time.Sleep(time.Second)
 		_, _, progress := l.Status()
@@ -280,7 +302,7 @@
 func TestLoaderLoadsAgainWhatTheEngineLost(t *testing.T) {
 	o, m := newFakeOrigin(bytes.Repeat([]byte("weights "), 4096))
 	e := &fakeEngine{checks: true}
-	inBubble(t, e, o, 1<<20, func(g Gomega, l agent.Loader) {
+	inBubble(t, e, o, 1<<20, func(g Gomega, l *loader.Loader) {
 		l.Apply(peer.Directive{Revision: 1, Assignments: []peer.Assignment{assignment(m, 1)}})
 		time.Sleep(time.Second)
 		g.Expect(e.taken()).To(HaveLen(1))
