--- a/compat/decisions_test.go
+++ b/compat/decisions_test.go
@@ -15,8 +15,8 @@
 
 // source is what the code outside tests declares and writes.
 type source struct {
-	// declared are functions, methods and constants, as package.name, as
-	// package.Type.name, and constants by their name alone.
+	// declared are functions and types as package.Name, methods as
+	// package.Type.Name, and constants by their name alone.
 	declared map[string]bool
 	// texts are all string literals.
 	texts map[string]bool
@@ -53,6 +53,8 @@
 		switch n := n.(type) {
 		case *ast.FuncDecl:
 			s.declared[pkg+"."+receiver(n)+n.Name.Name] = true
+		case *ast.TypeSpec:
+			s.declared[pkg+"."+n.Name.Name] = true
 		case *ast.ValueSpec:
 			for _, name := range n.Names {
 				s.declared[name.Name] = true
--- a/standalone/admission/gate.go
+++ b/standalone/admission/gate.go
@@ -1,5 +1,8 @@
 // Package admission decides which request gets a slot of an endpoint next,
 // and which is refused at once.
+//
+// A Gate owns the slots and the queue of one endpoint, under one lock. It relies on
+// being told when a request is over.
 package admission
 
 import (
--- a/standalone/agent/agent.go
+++ b/standalone/agent/agent.go
@@ -2,6 +2,10 @@
 // weights that the plan assigns to its VM, gives them on to other agents, is
 // the one place from which the engine gets orders, and runs the requests that
 // entries send.
+//
+// It owns the process and its ports; package loader owns weights and orders, the
+// runner the requests in progress, the reporter what entries were told. It relies
+// on its home entries for directives; while none answers it goes on with the last.
 package agent
 
 import (
--- a/standalone/caller/caller.go
+++ b/standalone/caller/caller.go
@@ -1,5 +1,8 @@
 // Package caller is the side of an entry that callers talk to: the usual
 // OpenAI HTTP API, plain services, the list of addresses and tickets.
+//
+// It owns nothing that lasts: requests belong to their goroutines, tickets to
+// package ticket, keys to package claim. It relies on package dispatch for answers.
 package caller
 
 import (
--- a/standalone/commit/commit.go
+++ b/standalone/commit/commit.go
@@ -1,4 +1,7 @@
 // Package commit gets changes of the configuration accepted by the platform.
+//
+// It owns nothing: each call reads what was accepted last, and writes on top of just
+// that. It relies on the store's conditional writes.
 package commit
 
 import (
--- a/standalone/dispatch/dispatch.go
+++ b/standalone/dispatch/dispatch.go
@@ -1,5 +1,8 @@
 // Package dispatch decides for each request where it goes, whether it may be
 // tried again, and what the caller is told.
+//
+// It owns the retry budget, under a lock. It relies on a Placer for endpoints and on
+// a Sender for attempts.
 package dispatch
 
 import (
--- a/standalone/engine/engine.go
+++ b/standalone/engine/engine.go
@@ -3,6 +3,8 @@
 // Published protocol: the OpenAI HTTP API for requests; POST /v1/orders for
 // fenced orders; GET /v1/state for what is loaded; GET /v1/load for a lagging
 // load report.
+//
+// It owns nothing. What an engine may be told, and when, is package loader's.
 package engine
 
 import (
--- a/standalone/entry/entry.go
+++ b/standalone/entry/entry.go
@@ -1,6 +1,10 @@
 // Package entry is the process on the entry VMs: it takes callers' requests
 // and operators' changes, spreads the configuration, tells agents what to do
 // and routes requests to endpoints.
+//
+// It puts the parts together and owns what was noted as in force and the manifests of
+// accepted rollouts, each under a lock. It relies on the object store to start, on
+// other entries and agents while that is down.
 package entry
 
 import (
--- a/standalone/fleet/table.go
+++ b/standalone/fleet/table.go
@@ -1,5 +1,8 @@
 // Package fleet keeps what an entry knows of the endpoints: what they serve,
 // how loaded they are and whether they are heard.
+//
+// A Table owns that, in shards under locks of their own. It relies on reports of agents and on exchanges
+// with other entries; the newest incarnation and sequence win.
 package fleet
 
 import (
--- a/standalone/forward/forward.go
+++ b/standalone/forward/forward.go
@@ -1,5 +1,8 @@
 // Package forward sends one attempt of a request from an entry to an agent,
 // and checks that the answer is whole and belongs to the attempt.
+//
+// It owns nothing but the connections of its HTTP client. It relies on the end mark
+// of package hop.
 package forward
 
 import (
--- a/standalone/hop/header.go
+++ b/standalone/hop/header.go
@@ -1,6 +1,8 @@
 // Package hop defines what travels with a request from an entry to an agent
 // and back: who it is for, how long it may take, and an end mark that tells a
 // whole answer from a cut one.
+//
+// It owns nothing; names of headers are on the wire.
 package hop
 
 import (
--- a/standalone/object/object.go
+++ b/standalone/object/object.go
@@ -1,4 +1,7 @@
 // Package object holds the labelled objects that operators edit.
+//
+// It owns nothing; an object does not change once it is accepted. Names of fields
+// are stored and on the wire.
 package object
 
 import (
--- a/standalone/objectstore/store.go
+++ b/standalone/objectstore/store.go
@@ -4,6 +4,9 @@
 // ETag, If-Match and If-None-Match; GET with watch=VERSION&wait=SECONDS waits
 // for a newer version and answers 304 when there is none; GET /v1/vms in the
 // same way lists the VMs.
+//
+// A Client owns this process's share of the platform's rates. What is kept under
+// which key is its callers' affair.
 package objectstore
 
 import (
--- a/standalone/operator/operator.go
+++ b/standalone/operator/operator.go
@@ -1,5 +1,7 @@
 // Package operator is the side of an entry that operators talk to, and the
 // client with which they do.
+//
+// It owns the last events, under a lock. It relies on a Backend, the entry.
 package operator
 
 import (
--- a/standalone/plan/plan.go
+++ b/standalone/plan/plan.go
@@ -1,6 +1,7 @@
 // Package plan works out from a configuration and the list of VMs what each
 // VM shall load. It is a pure function of both, so every process that knows
 // them comes to the same plan, and no leader is needed.
+// It owns nothing and makes no calls.
 package plan
 
 import (
--- a/standalone/router/router.go
+++ b/standalone/router/router.go
@@ -1,4 +1,7 @@
 // Package router chooses the endpoint for a request.
+//
+// A Router owns this entry's requests in progress and what they showed of endpoints,
+// under one lock. It relies on the plan and on package fleet's table.
 package router
 
 import (
--- a/standalone/secure/secure.go
+++ b/standalone/secure/secure.go
@@ -1,5 +1,6 @@
 // Package secure opens listeners and connections, plain or by TLS, as the
 // settings say.
+// It owns nothing.
 package secure
 
 import (
--- a/standalone/settings/load.go
+++ b/standalone/settings/load.go
@@ -1,4 +1,6 @@
-// Package settings reads and checks the JSON settings of each process.
+// Package settings reads and checks the JSON settings of silverdeck-entry and
+// silverdeck-agent, and their command line.
+// Unknown keys and wrong values are refused with file, field and what would be right.
 package settings
 
 import (
--- a/standalone/snapshot/snapshot.go
+++ b/standalone/snapshot/snapshot.go
@@ -4,6 +4,9 @@
 // replaced by conditional writes alone, so accepted changes have one order,
 // several objects change together or not at all, and the revision is an epoch
 // that every order to an engine can carry.
+//
+// A Holder owns the newest that a process has seen; it only moves forward. A
+// Snapshot does not change.
 package snapshot
 
 import (
