--- a/standalone/caller/relay.go
+++ b/standalone/caller/relay.go
@@ -50,7 +50,7 @@
 	}
 	if hop.IsStream(resp.Header) {
 		w.WriteHeader(resp.StatusCode)
-		_ = stream(w, &doneReader{src: resp.Body})
+		_ = stream(w, &doneReader{src: resp.Body}) // the caller is told in the stream itself
 		return
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
--- a/standalone/engine/engine.go
+++ b/standalone/engine/engine.go
@@ -114,6 +114,8 @@
 		return nil
 	case http.StatusConflict:
 		s := State{}
+		// An engine that refuses an order as stale and does not say its epoch raises the
+		// fence by nothing; its state is asked for before the next order.
 		_ = json.Unmarshal(answer, &s)
 		return &StaleError{Epoch: s.Epoch}
 	}
--- a/standalone/hop/error.go
+++ b/standalone/hop/error.go
@@ -59,7 +59,7 @@
 func ReadError(resp *http.Response) *verdict.Error {
 	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
 	var body errorBody
-	_ = json.Unmarshal(b, &body)
+	_ = json.Unmarshal(b, &body) // another body leaves code and detail empty; the verdict is in a header
 	return &verdict.Error{
 		Verdict:    verdict.Parse(resp.Header.Get(verdict.Header)),
 		Code:       verdict.Code(body.Error.Code),
--- a/standalone/hop/header.go
+++ b/standalone/hop/header.go
@@ -96,6 +96,8 @@
 		return m, verdict.NewError(verdict.NotRun, verdict.CodeDeadline, "deadline %q has passed", h.Get(HeaderDeadline))
 	}
 	m.Budget = time.Duration(millis) * time.Millisecond
+	// Entries always send both; without them a request has the least share and weight,
+	// which delays it and harms no other.
 	m.Share, _ = strconv.Atoi(h.Get(HeaderShare))
 	m.Cost, _ = strconv.ParseFloat(h.Get(HeaderCost), 64)
 	return m, nil
