--- a/standalone/agent/agent.go
+++ b/standalone/agent/agent.go
@@ -11,7 +11,6 @@
 import (
 	"context"
 	"errors"
-	"net"
 	"net/http"
 	"sync/atomic"
 	"time"
@@ -144,21 +143,15 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	a.stop = cancel
-	go a.serve(a.server, l)
-	go a.serve(a.observe, o)
+	// Both end when Stop closes the listeners.
+	go func() { _ = a.server.Serve(l) }()
+	go func() { _ = a.observe.Serve(o) }()
 	go a.reporter.run(ctx)
 	go a.loader.Run(ctx)
 	a.log.Info("agent started", "peer", a.cfg.Peer, "engine", a.cfg.Engine)
 	return nil
 }
 
-// serve takes connections at one port until it is closed.
-func (a *Agent) serve(s *http.Server, l net.Listener) {
-	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		a.log.Error("server ended", "addr", l.Addr().String(), "err", err)
-	}
-}
-
 // Stop is a planned stop: no new work from now on, and none in progress cut.
 func (a *Agent) Stop(ctx context.Context) error {
 	a.leaving.Store(true)
--- a/standalone/entry/entry.go
+++ b/standalone/entry/entry.go
@@ -189,7 +189,7 @@
 		listeners = append(listeners, l)
 	}
 	for i, s := range e.servers {
-		go e.serve(s, listeners[i])
+		go func() { _ = s.http.Serve(listeners[i]) }() // ends when Stop closes the listener
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	e.stop = cancel
@@ -219,13 +219,6 @@
 }
 
 // sweep suspects endpoints that fell silent and forgets those that left.
-// serve takes connections at one port until it is closed.
-func (e *Entry) serve(s server, l net.Listener) {
-	if err := s.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		e.log.Error("server ended", "addr", s.addr, "err", err)
-	}
-}
-
 func (e *Entry) sweep(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, sweepEvery)
