--- a/standalone/agent/agent.go
+++ b/standalone/agent/agent.go
@@ -163,7 +163,7 @@
 	a.stop()
 	a.pool.Close()
 	_ = a.observe.Close()
-	return a.server.Close()
+	return a.server.Shutdown(ctx)
 }
 
 func (a *Agent) homes() []string {
