--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -32,8 +32,8 @@
 const (
 	// haveWait is how long a request for news may wait.
 	haveWait = time.Second
-	// haveGather is how long news is gathered before it is told.
-	haveGather = 450 * time.Millisecond
+	// haveCoalesce is how long news is coalesced before it is told.
+	haveCoalesce = 450 * time.Millisecond
 	// writeLimit is how long a chunk may take to be taken off our hands.
 	writeLimit = 30 * time.Second
 )
--- a/exchange/server.go
+++ b/exchange/server.go
@@ -20,8 +20,8 @@
 	held  Holdings
 	slots chan struct{}
 	queue chan struct{}
-	// gather is how long news is gathered before it is told.
-	gather time.Duration
+	// coalesce is how long news is coalesced before it is told.
+	coalesce time.Duration
 	// pace bounds the bytes that are sent; nil means no bound.
 	pace *rate.Limiter
 }
@@ -29,9 +29,9 @@
 // ServerOption changes a Server.
 type ServerOption func(*Server)
 
-// WithGather sets how long news of chunks is gathered before it is told.
-func WithGather(d time.Duration) ServerOption {
-	return func(s *Server) { s.gather = d }
+// WithCoalescing sets how long news of chunks is coalesced before it is told.
+func WithCoalescing(d time.Duration) ServerOption {
+	return func(s *Server) { s.coalesce = d }
 }
 
 // paceSlice is how many bytes are sent at once under a pace: little enough not
@@ -46,10 +46,10 @@
 // NewServer returns a Server of what held has, that sends slots chunks at once.
 func NewServer(held Holdings, slots int, opts ...ServerOption) *Server {
 	s := &Server{
-		held:   held,
-		slots:  make(chan struct{}, slots),
-		queue:  make(chan struct{}, slots*(queueFactor+1)),
-		gather: haveGather,
+		held:     held,
+		slots:    make(chan struct{}, slots),
+		queue:    make(chan struct{}, slots*(queueFactor+1)),
+		coalesce: haveCoalesce,
 	}
 	for _, o := range opts {
 		o(s)
@@ -76,7 +76,7 @@
 		defer t.Stop()
 		select {
 		case <-more:
-			time.Sleep(s.gather)
+			time.Sleep(s.coalesce)
 		case <-t.C:
 		}
 		chunks, _ = set.Since(q.Since)
--- a/gateway/replica/rules.go
+++ b/gateway/replica/rules.go
@@ -59,21 +59,21 @@
 
 // How long a watch of the store may stay unanswered.
 const (
-	// holdEach is the time for each gateway that watches: the more there are, the
+	// pollEach is the time for each gateway that watches: the more there are, the
 	// sooner one of them finds out for all that the store lost their watches. Chosen
 	// by judgement; calls to the store are priced.
-	holdEach = time.Second
-	// minHold and maxHold bound that. Holds of 10 s let a lost watch stay unseen for
+	pollEach = time.Second
+	// minPoll and maxPoll bound that. Polls of 10 s let a lost watch stay unseen for
 	// too long on claimsdesk-ja scale-1 (docs/FINDINGS.md); the values are judgement.
-	minHold = 2500 * time.Millisecond
-	// maxHold is the longest.
-	maxHold = 10 * time.Second
+	minPoll = 2500 * time.Millisecond
+	// maxPoll is the longest.
+	maxPoll = 10 * time.Second
 )
 
-// WatchHold returns for how long a watch may stay unanswered where so many gateways
+// PollTimeout returns for how long a watch may stay unanswered where so many gateways
 // watch the store.
-func WatchHold(watchers int) time.Duration {
-	return min(max(holdEach*time.Duration(watchers), minHold), maxHold)
+func PollTimeout(watchers int) time.Duration {
+	return min(max(pollEach*time.Duration(watchers), minPoll), maxPoll)
 }
 
 // StoreLost returns whether the store answers no gateway that watches it, as far as
--- a/gateway/replica/rules_test.go
+++ b/gateway/replica/rules_test.go
@@ -56,7 +56,7 @@
 
 func TestWatchesAreHeldShorterTheFewerWatch(t *testing.T) {
 	for watchers, want := range map[int]time.Duration{0: 2500 * ms, 2: 2500 * ms, 3: 3 * time.Second, 10: 10 * time.Second, 40: 10 * time.Second} {
-		NewWithT(t).Expect(replica.WatchHold(watchers)).To(Equal(want))
+		NewWithT(t).Expect(replica.PollTimeout(watchers)).To(Equal(want))
 	}
 }
 
--- a/gateway/store.go
+++ b/gateway/store.go
@@ -9,35 +9,35 @@
 	"github.com/silverdeck/silverdeck/platform"
 )
 
-// gatherMembers is for how long changes of gateways are gathered into one call;
+// coalesceMembers is for how long changes of gateways are coalesced into one call;
 // heartbeats tell them sooner. Chosen by judgement, not measured.
-const gatherMembers = 2 * time.Second
+const coalesceMembers = 2 * time.Second
 
-// gatherDivisor makes the time for which changes of endpoints are gathered a quarter
+// coalesceDivisor makes the time for which changes of endpoints are coalesced a quarter
 // of the time after which a leaving one must get no requests. Chosen by judgement.
-const gatherDivisor = 4
+const coalesceDivisor = 4
 
 // newMirrors returns the copies of the platform's store, by kind.
 func (g *Gateway) newMirrors() map[string]*mirror.Mirror {
-	gatherEndpoints := g.cfg.DrainLimit / gatherDivisor
+	coalesceEndpoints := g.cfg.DrainLimit / coalesceDivisor
 	return map[string]*mirror.Mirror{
 		platform.KindConfig:    g.newMirror(platform.KindConfig, 0, g.useConfig),
-		platform.KindEndpoints: g.newMirror(platform.KindEndpoints, gatherEndpoints, func(*mirror.State) { g.endpoints.Update() }),
+		platform.KindEndpoints: g.newMirror(platform.KindEndpoints, coalesceEndpoints, func(*mirror.State) { g.endpoints.Update() }),
 		platform.KindVersions:  g.newMirror(platform.KindVersions, 0, g.useVersions),
-		platform.KindMembers:   g.newMirror(platform.KindMembers, gatherMembers, g.useMembers),
+		platform.KindMembers:   g.newMirror(platform.KindMembers, coalesceMembers, g.useMembers),
 	}
 }
 
-func (g *Gateway) newMirror(kind string, gather time.Duration, use func(*mirror.State)) *mirror.Mirror {
+func (g *Gateway) newMirror(kind string, coalesce time.Duration, use func(*mirror.State)) *mirror.Mirror {
 	return mirror.New(mirror.Config{
-		Kind:   kind,
-		Source: g.store.Source(kind),
-		Random: rand.Float64,
-		Hold:   g.watchHold,
-		Gather: gather,
-		Reach:  func(lost bool) { g.syncer.NoteStore(kind, lost) },
-		Active: func() bool { return g.syncer.KeptByStore(kind) },
-		Log:    g.log,
+		Kind:        kind,
+		Source:      g.store.Source(kind),
+		Random:      rand.Float64,
+		PollTimeout: g.pollTimeout,
+		Coalesce:    coalesce,
+		Reach:       func(lost bool) { g.syncer.NoteStore(kind, lost) },
+		Active:      func() bool { return g.syncer.KeptByStore(kind) },
+		Log:         g.log,
 	}, func(s *mirror.State) {
 		use(s)
 		g.announceCopies()
@@ -52,7 +52,7 @@
 	}
 }
 
-// watchHold returns for how long a watch may stay unanswered.
-func (g *Gateway) watchHold() time.Duration {
-	return replica.WatchHold(g.table.Watchers(g.syncer.Status().Watching))
+// pollTimeout returns for how long a watch may stay unanswered.
+func (g *Gateway) pollTimeout() time.Duration {
+	return replica.PollTimeout(g.table.Watchers(g.syncer.Status().Watching))
 }
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -40,9 +40,9 @@
 	List(ctx context.Context) ([]Object, int64, error)
 	// Watch returns the changes after revision as soon as there are some, or
 	// none after a while, and the revision to go on from. It returns
-	// *HistoryGoneError when the store no longer has these changes. hold is how
+	// *HistoryGoneError when the store no longer has these changes. timeout is how
 	// long the store may wait for changes.
-	Watch(ctx context.Context, revision int64, hold time.Duration) ([]Event, int64, error)
+	Watch(ctx context.Context, revision int64, timeout time.Duration) ([]Event, int64, error)
 }
 
 // HistoryGoneError tells that changes can't be had any more; a list can.
@@ -66,13 +66,13 @@
 	// restPause is how often a mirror that is at rest looks whether it is still. Chosen
 	// by judgement, not measured.
 	restPause = 100 * time.Millisecond
-	// holdSpread is the part of a watch's hold that is drawn, so that the watches
+	// pollSpread is the part of a watch's timeout that is drawn, so that the watches
 	// of many processes do not end together. Chosen by judgement, not measured.
-	holdSpread = 0.5
-	// confirmHold is a watch's hold after a failure: its answer only has to tell that
+	pollSpread = 0.5
+	// confirmPoll is a watch's timeout after a failure: its answer only has to tell that
 	// the store is back. Without it the return was noted late (docs/FINDINGS.md, DRAIN);
 	// the value is judgement.
-	confirmHold = 20 * time.Millisecond
+	confirmPoll = 20 * time.Millisecond
 )
 
 // Mirror keeps the copy. It is safe for concurrent use.
@@ -98,12 +98,12 @@
 	Kind   string
 	Source Source
 	Random func() float64
-	// Hold returns for how long a watch may stay unanswered. A store that lost
+	// PollTimeout returns for how long a watch may stay unanswered. A store that lost
 	// a watch without a word is found out after that time.
-	Hold func() time.Duration
-	// Gather is for how long changes are gathered before they are asked for once
+	PollTimeout func() time.Duration
+	// Coalesce is for how long changes are coalesced before they are asked for once
 	// more, so that many changes cost few calls.
-	Gather time.Duration
+	Coalesce time.Duration
 	// Reach hears when the store stops answering and when it answers again; nil
 	// means nobody does.
 	Reach func(lost bool)
@@ -204,7 +204,7 @@
 	if current.Revision == 0 || m.behind.Load() > current.Revision {
 		return m.list(ctx)
 	}
-	events, at, err := m.cfg.Source.Watch(ctx, current.Revision, m.drawHold())
+	events, at, err := m.cfg.Source.Watch(ctx, current.Revision, m.drawPollTimeout())
 	var gone *HistoryGoneError
 	if errors.As(err, &gone) {
 		m.cfg.Log.Info("history gone", "kind", m.cfg.Kind, "revision", current.Revision)
@@ -216,17 +216,17 @@
 	}
 	m.succeeded()
 	m.apply(current, events, at)
-	if len(events) > 0 && m.cfg.Gather > 0 {
-		wait.For(ctx, m.cfg.Gather)
+	if len(events) > 0 && m.cfg.Coalesce > 0 {
+		wait.For(ctx, m.cfg.Coalesce)
 	}
 	return nil
 }
 
-func (m *Mirror) drawHold() time.Duration {
+func (m *Mirror) drawPollTimeout() time.Duration {
 	if m.lost {
-		return confirmHold
+		return confirmPoll
 	}
-	return time.Duration((1 - holdSpread*m.cfg.Random()) * float64(m.cfg.Hold()))
+	return time.Duration((1 - pollSpread*m.cfg.Random()) * float64(m.cfg.PollTimeout()))
 }
 
 func (m *Mirror) list(ctx context.Context) error {
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -149,7 +149,7 @@
 		s.change("a", false)
 		cfg := mirror.Config{
 			Kind: "things", Source: s, Random: func() float64 { return 0.5 },
-			Hold: func() time.Duration { return hold }, Log: log.New(io.Discard),
+			PollTimeout: func() time.Duration { return hold }, Log: log.New(io.Discard),
 		}
 		set(&cfg)
 		m := mirror.New(cfg, func(*mirror.State) {})
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -36,10 +36,10 @@
 	// requests. Pacing below the link was worth 0.016 on quiet-1 of claimsdesk-ja, with
 	// loads apart from fetches ("Steps on quiet-1" in docs/MEASUREMENTS.md).
 	paceShare = 0.85
-	// gather is how long news of chunks is gathered before other VMs hear it. Chosen by
+	// coalesce is how long news of chunks is coalesced before other VMs hear it. Chosen by
 	// judgement; shorter made a fetch longer ("Load limits and returns" in
 	// docs/MEASUREMENTS.md).
-	gather = 50 * time.Millisecond
+	coalesce = 50 * time.Millisecond
 	// dialLimit bounds the opening of a connection, headerLimit the head of a request.
 	// Chosen by judgement.
 	dialLimit = 500 * time.Millisecond
@@ -92,7 +92,7 @@
 		return err
 	}
 	c.notices = conn
-	ex := exchange.NewServer(c.stager.Holdings(), uploads, exchange.WithGather(gather), exchange.WithPace(paceShare*platform.BytesPerSecond(c.cfg.LinkMbps)))
+	ex := exchange.NewServer(c.stager.Holdings(), uploads, exchange.WithCoalescing(coalesce), exchange.WithPace(paceShare*platform.BytesPerSecond(c.cfg.LinkMbps)))
 	mux, err := peerconn.NewMux(map[string]any{exchange.Service: ex, stage.ManifestService: c.stager.Manifests()})
 	if err != nil {
 		return err
