--- a/inventory/server.go
+++ b/inventory/server.go
@@ -11,10 +11,10 @@
 	// maxWait is for how long an answer may wait for news. Processes beside endpoints
 	// ask for one second. Chosen by judgement.
 	maxWait = 2 * time.Second
-	// gatherTime is for how long changes of members are gathered before those who wait
+	// coalesceTime is for how long changes of members are gathered before those who wait
 	// hear them; versions and the configuration are told at once. Chosen by
 	// judgement, not measured.
-	gatherTime = 500 * time.Millisecond
+	coalesceTime = 500 * time.Millisecond
 )
 
 // Server tells processes beside endpoints what they need of the platform's store,
@@ -64,7 +64,7 @@
 		}
 		select {
 		case <-news:
-		case <-time.After(gatherTime):
+		case <-time.After(coalesceTime):
 		case <-end:
 			if inv == nil {
 				return ErrNotKnown
