--- a/compat/pages_test.go
+++ b/compat/pages_test.go
@@ -112,3 +112,25 @@
 	}
 	return false
 }
+
+// TestTheOnCallPageListsEachMetric holds that OPERATIONS.md has the metrics that the
+// golden file has, and no others.
+func TestTheOnCallPageListsEachMetric(t *testing.T) {
+	golden, err := os.ReadFile(filepath.Join("testdata", "metrics.golden"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	page := pages(t)["../docs/OPERATIONS.md"]
+	exist := map[string]bool{}
+	for _, m := range regexp.MustCompile(`# TYPE (\S+)`).FindAllStringSubmatch(string(golden), -1) {
+		exist[m[1]] = true
+		if !strings.Contains(page, "`"+m[1]+"`") {
+			t.Errorf("OPERATIONS.md does not list %s", m[1])
+		}
+	}
+	for _, m := range regexp.MustCompile("`(silverdeck_\\w+)`").FindAllStringSubmatch(page, -1) {
+		if !exist[m[1]] {
+			t.Errorf("OPERATIONS.md lists %s, which does not exist", m[1])
+		}
+	}
+}
