--- a/gateway/state.go
+++ b/gateway/state.go
@@ -1,10 +1,8 @@
 package gateway
 
 import (
-	"cmp"
 	"context"
 	"errors"
-	"slices"
 	"time"
 
 	"github.com/silverdeck/silverdeck/gateway/affinity"
@@ -91,11 +89,9 @@
 	g.syncer.Follow(ctx, time.Now())
 }
 
-// gateways returns all live gateways with this one, by name.
+// gateways returns all live gateways with this one, in no order.
 func (g *Gateway) gateways() []member.Entry {
-	all := append(g.table.Live(), g.self)
-	slices.SortFunc(all, func(a, b member.Entry) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	return append(g.table.Live(), g.self)
 }
 
 // describeService returns the inventory of a service, or nil while too little is
