--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -60,7 +60,7 @@
 mutant "no takeover" swarm/schedule.go 's/maxRanks = 4/maxRanks = 1/; s/anybodySpread = 16/anybodySpread = 1600000/' ./swarm 'TestKilledReaders'
 mutant "corrupt members are asked again" swarm/neighbours.go 's/maxCorrupt = 2/maxCorrupt = 2000/' ./swarm 'TestCorruptMember'
 mutant "every region reads for itself" swarm/schedule.go 's/home\[0\].Region != d.self.Region/false/' ./swarm 'TestLongLink'
-mutant "nothing waits for a first reader" swarm/schedule.go 's/return j.rank\[c\] == 0 &&/return false \&\&/' ./swarm 'TestHealthySwarm|TestLongLink|TestRegion'
+mutant "nothing waits for a first reader" swarm/schedule.go 's/return s.rank\[c\] == 0 &&/return false \&\&/' ./swarm 'TestHealthySwarm|TestLongLink|TestRegion'
 mutant "engines' losses go unseen" standalone/agent/loader/load.go 's/if t.live && !l.engineHas\(s, t.assignment\)/if false \&\& !l.engineHas(s, t.assignment)/' ./standalone/agent/loader 'TestLoaderLoadsAgain'
 mutant "what may have run is sent again" gateway/policy/retry.go 's/case f.Verdict != verdict.NotRun \&\& !f.Repeatable:\n\t\treturn NoRetry/case false:\n\t\treturn NoRetry/' ./gateway/proxy 'TestWhatMayHaveRunIsNotRepeated'
 mutant "no retry budget" gateway/proxy/budget.go 's/if !b.allows\(h, purpose\)/if false/' ./gateway/proxy 'TestRepeatedRequestsStayWithinTheBudget'
--- a/swarm/download.go
+++ b/swarm/download.go
@@ -58,7 +58,8 @@
 	}
 	d.link = congestion.New(cfg.LinkRate, set.Manifest().ChunkSize)
 	d.stats.Total = len(set.Manifest().Chunks)
-	for _, c := range first(set.Since(0)) {
+	held, _ := set.Since(0)
+	for _, c := range held {
 		d.avail.have[c] = true
 	}
 	d.members = slices.Clone(members)
@@ -66,10 +67,6 @@
 	return d
 }
 
-func first[T, U any](t T, _ U) T {
-	return t
-}
-
 // Stats returns how far the download has come.
 func (d *Download) Stats() Stats {
 	d.mu.Lock()
--- a/swarm/obtain.go
+++ b/swarm/obtain.go
@@ -26,21 +26,21 @@
 // startDue begins to obtain the chunks whose time has come.
 func (d *Download) startDue(ctx context.Context) {
 	now := time.Now()
-	j := &d.schedule
+	s := &d.schedule
 	parallel := originParallel
-	if j.faults > 0 || d.link.Congested() {
+	if s.faults > 0 || d.link.Congested() {
 		parallel = 1
 	}
-	for c := range j.due {
-		if len(j.reading) >= parallel {
+	for c := range s.due {
+		if len(s.reading) >= parallel {
 			return
 		}
-		if now.Before(j.due[c]) || d.avail.have[c] || j.reading[c] || d.avail.known(c) || d.avail.flights[c].copies > 0 {
+		if now.Before(s.due[c]) || d.avail.have[c] || s.reading[c] || d.avail.known(c) || d.avail.flights[c].copies > 0 {
 			continue
 		}
-		j.reading[c] = true
+		s.reading[c] = true
 		d.inflight.Add(1)
-		go d.obtain(ctx, c, j.earlier[c], j.rank[c])
+		go d.obtain(ctx, c, s.earlier[c], s.rank[c])
 	}
 }
 
@@ -130,7 +130,7 @@
 	d.schedule.due[c] = time.Now().Add(step)
 }
 
-// patient returns whether chunk c may be left to m once more.
+// mayPostpone returns whether chunk c may be left to m once more.
 func (d *Download) mayPostpone(c int, m Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/swarm/readorigin.go
+++ b/swarm/readorigin.go
@@ -80,28 +80,28 @@
 func (d *Download) originFailed(err error, read, n int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	j := &d.schedule
-	j.quota += n - read
+	s := &d.schedule
+	s.quota += n - read
 	d.stats.OriginBytes += read
 	var changed *origin.ChangedError
 	if errors.As(err, &changed) {
-		j.changed = true
+		s.changed = true
 		d.stats.Blocked = blockedChanged
 		return
 	}
 	d.stats.Blocked = "origin: " + err.Error()
 	// It is the origin's fault that chunks are late, and no other member's.
-	clear(j.postponed)
-	j.backOff(d)
+	clear(s.postponed)
+	s.backOff(d)
 }
 
 // originCorrupt notes a corrupt chunk from the origin. The caller holds the lock.
 func (d *Download) originCorrupt(c int) {
-	j := &d.schedule
+	s := &d.schedule
 	d.stats.CorruptOrigin++
-	j.corrupt[c]++
-	j.backOff(d)
-	if j.corrupt[c] >= maxOriginCorrupt {
+	s.corrupt[c]++
+	s.backOff(d)
+	if s.corrupt[c] >= maxOriginCorrupt {
 		d.stats.Blocked = blockedCorrupt
 	}
 }
--- a/swarm/schedule.go
+++ b/swarm/schedule.go
@@ -50,7 +50,7 @@
 
 func newSchedule(d *Download) schedule {
 	n := len(d.set.Manifest().Chunks)
-	j := schedule{
+	s := schedule{
 		due:     make([]time.Time, n),
 		earlier: make([][]Member, n),
 		rank:    make([]int, n),
@@ -60,32 +60,32 @@
 		fromOrigin: map[int]bool{},
 		postponed:  map[int]int{},
 	}
-	j.assign(d)
-	j.quota = j.share(d)
-	j.limiter = rate.NewLimiter(rate.Inf, 0)
-	j.limit(d)
-	return j
+	s.assign(d)
+	s.quota = s.share(d)
+	s.limiter = rate.NewLimiter(rate.Inf, 0)
+	s.limit(d)
+	return s
 }
 
 // limit keeps this member to its part of the origin's link. What it may read
 // in all may come at once: the turns already spread that over time.
-func (j *schedule) limit(d *Download) {
+func (s *schedule) limit(d *Download) {
 	if d.cfg.OriginRate <= 0 {
-		j.limiter.SetLimit(rate.Inf)
+		s.limiter.SetLimit(rate.Inf)
 		return
 	}
 	members := float64(max(len(d.members), 1))
-	j.limiter.SetBurst(int(max(j.quota, d.set.Manifest().ChunkSize)))
-	j.limiter.SetLimit(rate.Limit(d.cfg.OriginRate / members))
+	s.limiter.SetBurst(int(max(s.quota, d.set.Manifest().ChunkSize)))
+	s.limiter.SetLimit(rate.Limit(d.cfg.OriginRate / members))
 }
 
 // share returns how many bytes of the origin this member may read: the chunks
 // that it is the first to bring in, and its part of the spare copies. Shares
 // add up to the budget; a part of a chunk is drawn by lot, the same each time.
-func (j *schedule) share(d *Download) int64 {
+func (s *schedule) share(d *Download) int64 {
 	m := d.set.Manifest()
 	first := 0
-	for _, r := range j.rank {
+	for _, r := range s.rank {
 		if r == 0 {
 			first++
 		}
@@ -103,35 +103,35 @@
 // The origin's link is shared by time: chunk c has its turn at c times what a
 // chunk takes on the link. So the first chunks arrive early and spread while
 // the others wait, and a ceiling on the link holds without talk.
-func (j *schedule) assign(d *Download) {
+func (s *schedule) assign(d *Download) {
 	m := d.set.Manifest()
 	late := d.cfg.lateness(m.Size)
 	region := inRegion(d.members, d.self.Region)
 	for c := range m.Chunks {
 		turn := d.began.Add(turnOnLink(d.cfg.OriginRate, m, c))
 		ranks := ranked(d.set.Root(), c, region, maxRanks)
-		j.earlier[c], j.rank[c] = earlierReaders(ranks, d.self.VM)
-		wait := time.Duration(j.rank[c]) * late
-		if j.rank[c] == len(ranks) {
+		s.earlier[c], s.rank[c] = earlierReaders(ranks, d.self.VM)
+		wait := time.Duration(s.rank[c]) * late
+		if s.rank[c] == len(ranks) {
 			spread := float64(score(d.set.Root(), c, d.self.VM)) / math.MaxUint64
 			wait += time.Duration(spread * anybodySpread * float64(late))
 		}
 		home := ranked(d.set.Root(), c, d.members, 1)
 		if len(home) == 1 && home[0].Region != d.self.Region {
-			j.earlier[c] = withHomeReader(j.earlier[c], home[0], j.rank[c])
+			s.earlier[c] = withHomeReader(s.earlier[c], home[0], s.rank[c])
 			wait += late
 		}
-		j.due[c] = turn.Add(wait)
+		s.due[c] = turn.Add(wait)
 	}
 }
 
 // setBudget changes the ceilings on the origin while chunks travel.
-func (j *schedule) setBudget(d *Download, rate, copies float64) {
-	before := j.share(d)
+func (s *schedule) setBudget(d *Download, rate, copies float64) {
+	before := s.share(d)
 	WithOriginBudget(rate, copies)(&d.cfg)
-	j.quota += j.share(d) - before
-	j.assign(d)
-	j.limit(d)
+	s.quota += s.share(d) - before
+	s.assign(d)
+	s.limit(d)
 }
 
 // turnOnLink returns when chunk c has its turn on the origin's link.
@@ -169,25 +169,25 @@
 }
 
 // open returns whether n bytes may be read from the origin now.
-func (j *schedule) open(n int64) bool {
-	return !j.changed && j.quota >= n && !time.Now().Before(j.retryAt)
+func (s *schedule) open(n int64) bool {
+	return !s.changed && s.quota >= n && !time.Now().Before(s.retryAt)
 }
 
 // willRead returns whether this member is reading chunk c from the origin, or
-// is the first to do so and will as soon as it can. One that only asks others
-// for it willRead nothing: two that ask each other would both wait.
-func (j *schedule) willRead(c int, n int64) bool {
-	if j.fromOrigin[c] {
+// is the first to do so and will as soon as it can. One that only asks others for
+// it does not count: two that ask each other would both wait.
+func (s *schedule) willRead(c int, n int64) bool {
+	if s.fromOrigin[c] {
 		return true
 	}
-	return j.rank[c] == 0 && !j.changed && j.quota >= n
+	return s.rank[c] == 0 && !s.changed && s.quota >= n
 }
 
 // backOff leaves the origin alone for a while, longer after each fault in a
 // row, and not for the same time as other members.
-func (j *schedule) backOff(d *Download) {
-	j.faults++
-	pause := d.cfg.lateness(d.set.Manifest().Size) << min(j.faults-1, maxBackoffShift)
+func (s *schedule) backOff(d *Download) {
+	s.faults++
+	pause := d.cfg.lateness(d.set.Manifest().Size) << min(s.faults-1, maxBackoffShift)
 	jitter := 0.5 + d.cfg.Rand.Float64()/2
-	j.retryAt = time.Now().Add(time.Duration(jitter * float64(pause)))
+	s.retryAt = time.Now().Add(time.Duration(jitter * float64(pause)))
 }
