--- a/Makefile
+++ b/Makefile
@@ -1,8 +1,10 @@
 LINT_VERSION := v2.15.0
 LINT := tools/bin/golangci-lint
+GOPLS_VERSION := v0.20.0
+GOPLS := tools/bin/gopls
 FUZZTIME ?= 30s
 
-.PHONY: build demo test check lint spec bench fuzz golden deploy soak
+.PHONY: build demo test check lint spec bench fuzz golden deploy soak tools
 
 build: ## build all binaries into bin/
 	go build -o bin/ ./cmd/...
@@ -38,6 +40,12 @@
 $(LINT):
 	GOBIN=$(CURDIR)/tools/bin go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(LINT_VERSION)
 
+# gopls renames identifiers with all their uses: gopls rename -w FILE:LINE:COLUMN NEW.
+tools: $(LINT) $(GOPLS) ## build the linter and gopls into tools/bin
+
+$(GOPLS):
+	GOBIN=$(CURDIR)/tools/bin go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 spec: ## check the specifications and that their mutations are caught
 	spec/check.sh
 
