--- a/gateway/affinity/affinity_test.go
+++ b/gateway/affinity/affinity_test.go
@@ -12,8 +12,8 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// zones returns a list of n endpoints in each of zones.
-func zones(n int, zones ...string) *roster.List {
+// endpointsInZones returns a list with n endpoints in each of the given zones.
+func endpointsInZones(n int, zones ...string) *roster.List {
 	list := &roster.List{Endpoints: map[string]*roster.Endpoint{}}
 	for _, zone := range zones {
 		for i := range n {
@@ -24,7 +24,7 @@
 	return list
 }
 
-// gateways returns n live gateways of zone.
+// gateways returns n live gateways in a zone.
 func gateways(n int, zone string) []member.Entry {
 	var out []member.Entry
 	for i := range n {
@@ -33,7 +33,7 @@
 	return out
 }
 
-// preferredBy returns how many of live prefer each endpoint of list.
+// preferredBy returns the number of live gateways that prefer each endpoint.
 func preferredBy(list *roster.List, live []member.Entry) map[string]int {
 	out := map[string]int{}
 	for _, e := range slices.Clone(live) {
@@ -44,9 +44,9 @@
 	return out
 }
 
-func TestAZonesEndpointsArePreferredByItsGateways(t *testing.T) {
+func TestEndpointsArePreferredByGatewaysOfTheirZone(t *testing.T) {
 	g := NewWithT(t)
-	list := zones(4, "a", "b", "c")
+	list := endpointsInZones(4, "a", "b", "c")
 	live := append(gateways(2, "a"), gateways(1, "b")...)
 	for _, e := range slices.Clone(live) {
 		for id := range affinity.Preferred(list, live, e.Name) {
@@ -59,13 +59,14 @@
 	g.Expect(affinity.Preferred(nil, live, "a00")).To(BeEmpty())
 }
 
-// With one endpoint for each gateway, or one for some and two for others, those who had
-// more than their part of the requests sent them on to endpoints of which they knew little.
+// With only one preferred endpoint, or one for some gateways and two for others, gateways that
+// receive more than their share of the requests send the excess to endpoints whose load they
+// hardly know.
 func TestEndpointsAreDealtOutEvenly(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 12, 15, 24, 60} {
 		for _, count := range []int{1, 2, 3, 5, 12, 19, 24, 30, 61} {
 			g := NewWithT(t)
-			list, live := zones(n, "a"), gateways(count, "a")
+			list, live := endpointsInZones(n, "a"), gateways(count, "a")
 			for _, e := range slices.Clone(live) {
 				mine := affinity.Preferred(list, live, e.Name)
 				g.Expect(len(mine)).To(BeNumerically(">=", min(3, n)), "%d endpoints, %d gateways", n, count)
@@ -81,14 +82,15 @@
 	}
 }
 
-// Where there are endpoints enough for all gateways, each has one that prefers it.
-func TestEveryEndpointHasOneOwnerOfItsZone(t *testing.T) {
+// If there are at least minPreferred endpoints for each gateway, each endpoint is preferred by
+// exactly one.
+func TestEndpointsArePreferredByOneGatewayOfTheirZone(t *testing.T) {
 	g := NewWithT(t)
-	list := zones(24, "a", "b", "c")
+	list := endpointsInZones(24, "a", "b", "c")
 	live := append(gateways(4, "a"), gateways(3, "b")...)
-	owners := preferredBy(list, live)
-	g.Expect(owners).To(HaveLen(3 * 24))
-	for id, n := range owners {
+	preferring := preferredBy(list, live)
+	g.Expect(preferring).To(HaveLen(3 * 24))
+	for id, n := range preferring {
 		g.Expect(n).To(Equal(1), id)
 	}
 	g.Expect(affinity.Preferred(list, live, "a00")).To(HaveLen(24/4 + 4))
--- a/gateway/affinity/held.go
+++ b/gateway/affinity/held.go
@@ -6,11 +6,11 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// Held returns the endpoints that the gateway named self holds, by ID: it alone sends requests
-// there while they name a limit. Each is held by one of the live gateways of its zone that keep
-// to limits, or of all such gateways where the zone has none. Which one follows from its ID and
-// who is alive, not from the other endpoints: gateways whose lists differ for a while still
-// choose the same.
+// Held returns the IDs of the endpoints whose holder is the gateway named self. While an
+// endpoint announces a rate limit, only its holder sends requests there. The holder is one of
+// the live limit-aware gateways of the endpoint's zone, or of all zones if that zone has none.
+// It depends only on the endpoint's ID and the live gateways, not on the other endpoints, so
+// that gateways whose endpoint lists differ for a while still agree.
 func Held(list *roster.List, live []member.Entry, self string) map[string]bool {
 	out := map[string]bool{}
 	if list == nil {
@@ -20,7 +20,7 @@
 	for id, e := range list.Endpoints {
 		near, known := zones[e.Zone]
 		if !known {
-			near = names(inZone(heeding(live), e.Zone))
+			near = names(zoneOrAll(limitAware(live), e.Zone))
 			zones[e.Zone] = near
 		}
 		if rendezvous.Choose(id, near) == self {
@@ -30,9 +30,9 @@
 	return out
 }
 
-// Holder returns the gateway that holds an endpoint, or false where none does.
+// Holder returns the gateway that holds an endpoint, or false if there is none.
 func Holder(e *roster.Endpoint, live []member.Entry) (member.Entry, bool) {
-	near := inZone(heeding(live), e.Zone)
+	near := zoneOrAll(limitAware(live), e.Zone)
 	chosen := rendezvous.Choose(e.ID, names(near))
 	for _, m := range near {
 		if m.Name == chosen {
@@ -42,8 +42,8 @@
 	return member.Entry{}, false
 }
 
-// heeding returns the gateways that keep to what endpoints say in answers.
-func heeding(live []member.Entry) []member.Entry {
+// limitAware returns the gateways that respect the limits which endpoints announce in responses.
+func limitAware(live []member.Entry) []member.Entry {
 	var out []member.Entry
 	for _, e := range live {
 		if e.Heeds {
--- a/gateway/affinity/held_test.go
+++ b/gateway/affinity/held_test.go
@@ -11,8 +11,8 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// heeding are gateways that keep to limits, two in each of so many zones.
-func heeding(zones string) []member.Entry {
+// limitAwareGateways returns two limit-aware gateways in each zone; a zone is one character.
+func limitAwareGateways(zones string) []member.Entry {
 	var out []member.Entry
 	for _, z := range zones {
 		for i := range 2 {
@@ -22,7 +22,7 @@
 	return out
 }
 
-// endpointsIn has n endpoints in each of the zones.
+// endpointsIn returns a list with n endpoints in each zone; a zone is one character.
 func endpointsIn(zones string, n int) *roster.List {
 	list := &roster.List{Endpoints: map[string]*roster.Endpoint{}}
 	for _, z := range zones {
@@ -34,7 +34,7 @@
 	return list
 }
 
-// holders returns who holds each endpoint, as all gateways of live see it.
+// holders returns the names of the gateways that consider themselves the holder of each endpoint.
 func holders(list *roster.List, live []member.Entry) map[string][]string {
 	out := map[string][]string{}
 	for _, e := range live {
@@ -45,24 +45,24 @@
 	return out
 }
 
-// Two gateways that hold an endpoint both send at its limit.
+// If two gateways held an endpoint, both would send requests at its full rate limit.
 func TestOneGatewayHoldsAnEndpoint(t *testing.T) {
 	g := NewWithT(t)
-	list, live := endpointsIn("abc", 20), heeding("ab")
+	list, live := endpointsIn("abc", 20), limitAwareGateways("ab")
 	for id, by := range holders(list, live) {
 		g.Expect(by).To(HaveLen(1), id)
 		if id[2] != 'c' {
-			g.Expect(by[0][2]).To(Equal(id[2]), "one of its zone")
+			g.Expect(by[0][2]).To(Equal(id[2]), "a gateway of its zone")
 		}
 	}
 	g.Expect(holders(list, live)).To(HaveLen(60))
 	g.Expect(holders(list, nil)).To(BeEmpty())
 }
 
-// An older program knows nothing of limits and must not be left to keep them.
-func TestAnOlderProgramHoldsNoEndpoint(t *testing.T) {
+// An older version that does not know rate limits must not be chosen to enforce one.
+func TestGatewaysThatIgnoreLimitsHoldNoEndpoint(t *testing.T) {
 	g := NewWithT(t)
-	list, live := endpointsIn("a", 20), heeding("ab")
+	list, live := endpointsIn("a", 20), limitAwareGateways("ab")
 	live[0].Heeds, live[1].Heeds = false, false
 	for id, by := range holders(list, live) {
 		g.Expect(by).To(HaveLen(1), id)
@@ -71,10 +71,11 @@
 	g.Expect(holders(list, live)).To(HaveLen(20))
 }
 
-// Gateways hear of an endpoint at different times.
-func TestAnotherEndpointMovesNone(t *testing.T) {
+// Gateways learn of a new endpoint at different times and must agree on the holders of the others
+// meanwhile.
+func TestNewEndpointsDoNotChangeHolders(t *testing.T) {
 	g := NewWithT(t)
-	live := heeding("a")
+	live := limitAwareGateways("a")
 	few, many := holders(endpointsIn("a", 20), live), holders(endpointsIn("a", 30), live)
 	for id, by := range few {
 		g.Expect(many[id]).To(Equal(by))
--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -16,7 +16,7 @@
 	registerPause = 500 * time.Millisecond
 	// acceptLeaving is how long a leaving gateway takes new connections, for callers that
 	// kept its address: longer than addressTTL. What may not end in time is refused
-	// meanwhile; see policy.EndsInTime.
+	// meanwhile; see policy.AcceptsDuringShutdown.
 	acceptLeaving = 3 * time.Second
 	// stopMargin is taken from the time that a planned stop may take, for what comes after
 	// the last request.
--- a/gateway/poison/key.go
+++ b/gateway/poison/key.go
@@ -1,14 +1,15 @@
-// Package poison recognizes requests that end each endpoint that begins to run them, and
-// keeps them from further endpoints.
+// Package poison detects poison requests, which crash every endpoint that starts to process
+// them, and keeps them from further endpoints.
 //
-// An endpoint that ends takes all requests in progress there with it, of which at most one
-// is to blame. A request is told apart by what its copies have in common, whoever sends
-// them and however often: its Key. One under which several endpoints ended in a row is
-// quarantined; one that was answered whole in between is cleared.
+// A crash aborts all requests in progress at the endpoint, of which at most one caused it.
+// Copies of a request are matched by Key, whoever sends them and however often. A request is
+// quarantined once several endpoints in a row have crashed while processing it, and cleared when
+// an endpoint answers it completely in between.
 //
-// It owns the table of suspected requests, under one lock, which gateways share by records
-// in their heartbeats. What a record says and when it quarantines are functions of plain
-// values. It knows nothing of connections and endpoints but the names of their lives.
+// The package owns the table of suspected requests, which is protected by one lock. Gateways
+// exchange its records in their heartbeats. The meaning of a record, and whether it quarantines
+// its request, are pure functions of its fields. The package knows nothing about connections,
+// and of endpoints only the identity of their incarnations.
 package poison
 
 import (
@@ -19,26 +20,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Request is what two copies of a request have in common. What else a copy carries, such as
-// its ID, its deadline or the place where it goes on, says nothing of what it does to an
-// endpoint.
+// Request holds what all copies of a request have in common. Other properties of a copy, such
+// as its ID, its deadline or the position from which it resumes, do not determine whether it
+// crashes an endpoint.
 type Request struct {
 	Method, URI string
-	// Account is the name of the client account: nobody can have another's requests
-	// quarantined.
+	// Account is the name of the client account. It is part of the key so that no account can
+	// have the requests of another quarantined.
 	Account string
 	Body    []byte
 }
 
-// Shape tells most requests apart at the cost of hashing a few dozen bytes. Only requests
+// Shape is a cheap hash, of a few dozen bytes, that distinguishes most requests. Only requests
 // with the shape of a suspected one have their bodies hashed.
 type Shape uint64
 
-// Digest is a part of a SHA-256, long enough that no other request with the same can be
-// found.
+// Digest is a truncated SHA-256, long enough to make it infeasible to find another request with
+// the same digest.
 type Digest [16]byte
 
-// Key names a request and all its copies.
+// Key identifies a request and all its copies.
 type Key struct {
 	Shape  Shape
 	Digest Digest
@@ -51,13 +52,13 @@
 
 // Shape returns the request's shape.
 func (r *Request) Shape() Shape {
-	return Shape(xxhash.Sum64(r.head()))
+	return Shape(xxhash.Sum64(r.encodeHead()))
 }
 
-// Key returns the request's key. It reads the whole body: 3.3 ms for one of 4 MiB and 3.6 us
-// for one of 4 KiB (BenchmarkKey).
+// Key returns the request's key. It hashes the whole body, which takes 3.3 ms for 4 MiB and
+// 3.6 us for 4 KiB (BenchmarkKey).
 func (r *Request) Key() Key {
-	head := r.head()
+	head := r.encodeHead()
 	h := sha256.New()
 	h.Write(head)
 	h.Write(r.Body)
@@ -66,9 +67,9 @@
 	return k
 }
 
-// head returns all but the body, and the body's length, so that no two requests have the
-// same.
-func (r *Request) head() []byte {
+// encodeHead encodes all fields but the body, and the length of the body. Strings are prefixed
+// with their length, so that the encoding is unambiguous.
+func (r *Request) encodeHead() []byte {
 	var b []byte
 	for _, s := range []string{r.Method, r.URI, r.Account} {
 		b = binary.AppendUvarint(b, uint64(len(s)))
--- a/gateway/poison/key_test.go
+++ b/gateway/poison/key_test.go
@@ -12,7 +12,7 @@
 	return &poison.Request{Method: "POST", URI: "/a/b?c", Account: "acme", Body: []byte("body")}
 }
 
-func TestCopiesOfARequestHaveOneKey(t *testing.T) {
+func TestCopiesOfARequestHaveTheSameKey(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(request().Key()).To(Equal(request().Key()))
 	g.Expect(request().Key().Shape).To(Equal(request().Shape()))
--- a/gateway/poison/list.go
+++ b/gateway/poison/list.go
@@ -8,53 +8,55 @@
 	"time"
 )
 
-// UnknownKeyError tells that no suspected or quarantined request has a key.
+// UnknownKeyError means that no suspected or quarantined request has the key.
 type UnknownKeyError struct {
 	Key string
 }
 
-// Error names the key.
+// Error implements error.
 func (e *UnknownKeyError) Error() string {
-	return fmt.Sprintf("poison: no request is suspected that has the key %q", e.Key)
+	return fmt.Sprintf("poison: no suspected or quarantined request has key %q", e.Key)
 }
 
-// Listed is a request as the person on call sees it.
-type Listed struct {
+// RequestStatus describes a suspected or quarantined request to operators.
+type RequestStatus struct {
 	Key string `json:"key"`
-	// Quarantined is set when it is sent to no endpoint; else it is suspected.
+	// Quarantined is set when the request is sent to no endpoint; otherwise it is suspected.
 	Quarantined bool `json:"quarantined"`
-	// Ends is how many endpoints ended under it, Relapses how many quarantines have run out.
+	// Ends is the number of endpoints that crashed while processing the request, Relapses the
+	// number of its quarantines that have expired.
 	Ends     int   `json:"ends"`
 	Relapses uint8 `json:"relapses"`
-	// AgeMS is how long ago that changed, LeftMS how long the quarantine lasts.
+	// AgeMS is the time since the record last changed, LeftMS the time until the quarantine
+	// expires.
 	AgeMS  int64 `json:"ageMs"`
 	LeftMS int64 `json:"leftMs,omitempty"`
 
 	record Record
 }
 
-// List returns the requests that are suspected or quarantined, the latest first.
-func (t *Table) List(now time.Time) []Listed {
+// List returns the suspected and quarantined requests, the most recently changed first.
+func (t *Table) List(now time.Time) []RequestStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []Listed
+	var out []RequestStatus
 	for _, q := range t.requests {
 		if q.State() == Clear {
 			continue
 		}
 		age := now.Sub(q.changedAt)
-		l := Listed{Key: hex.EncodeToString(q.Key.Digest[:]), Ends: len(q.Ends), Relapses: q.Relapses, AgeMS: age.Milliseconds(), record: q.Record}
+		l := RequestStatus{Key: hex.EncodeToString(q.Key.Digest[:]), Ends: len(q.Crashes), Relapses: q.Relapses, AgeMS: age.Milliseconds(), record: q.Record}
 		if q.State() == Quarantined {
 			l.Quarantined, l.LeftMS = true, (QuarantineTime(q.Relapses) - age).Milliseconds()
 		}
 		out = append(out, l)
 	}
-	slices.SortFunc(out, func(a, b Listed) int { return cmp.Or(cmp.Compare(a.AgeMS, b.AgeMS), cmp.Compare(a.Key, b.Key)) })
+	slices.SortFunc(out, func(a, b RequestStatus) int { return cmp.Or(cmp.Compare(a.AgeMS, b.AgeMS), cmp.Compare(a.Key, b.Key)) })
 	return out
 }
 
-// Clear lets the request with a digest, in hexadecimal, be sent again. The error is an
-// *UnknownKeyError.
+// Clear clears the request with the given digest, in hexadecimal, so that it is sent to
+// endpoints again. The error is an *UnknownKeyError.
 func (t *Table) Clear(digest string, now time.Time) error {
 	for _, l := range t.List(now) {
 		if l.Key == digest {
--- a/gateway/poison/record.go
+++ b/gateway/poison/record.go
@@ -10,139 +10,142 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// When a request is quarantined, and for how long.
+// Thresholds and durations of quarantines.
 const (
-	// maxEnds is how many endpoints end under a request before it is quarantined. Of those
-	// that one end takes along at most one is to blame, and one that goes on elsewhere may
-	// meet the same request there: with two ends, one in eleven of a dozen endpoints'
-	// requests would be quarantined with it. From the platform's rule, too.
-	maxEnds = 3
-	// keptEnds is how many a record keeps: by those beyond maxEnds a request that only went
-	// where the one to blame was is told apart from it.
-	keptEnds = 8
-	// relapseEnds is the same for a request that was quarantined before.
-	relapseEnds = 1
-	// quarantineTime is how long a quarantine lasts at first: the endpoints' software or
-	// their weights may have been mended. It doubles with each relapse. A request that is
-	// sent all the time then ends one endpoint in ten minutes, and one in three hours in
-	// the end.
+	// crashThreshold is the number of endpoint crashes that quarantines a request. At most one
+	// of the requests aborted by a crash caused it, and one of the others may meet that request
+	// again where it is retried: with a threshold of two, one in eleven of the requests of a
+	// dozen endpoints would be quarantined as well. The platform's rules use three, too.
+	crashThreshold = 3
+	// maxRecordedCrashes is the number of crashes that a record keeps. Those beyond
+	// crashThreshold distinguish the request that causes the crashes from one that merely
+	// shared some of its endpoints.
+	maxRecordedCrashes = 8
+	// relapseCrashThreshold replaces crashThreshold for a request that was quarantined before.
+	relapseCrashThreshold = 1
+	// quarantineTime is the duration of the first quarantine. It is limited because the
+	// endpoints' software or weights may have been fixed, and doubles with each relapse. A
+	// request that is sent continuously thus crashes one endpoint in ten minutes at first, and
+	// one in about three hours in the end.
 	quarantineTime = 10 * time.Minute
-	// maxDoublings is after how many the time stays.
+	// maxDoublings is the number of relapses after which the duration stays constant.
 	maxDoublings = 4
-	// suspicionTime is for how long ends are remembered that quarantine nothing yet. Longer
-	// than callers repeat a request, and short enough that a long-lived one, such as a
-	// check that is always the same, does not gather unrelated ends.
+	// suspicionTime is how long crashes below the threshold are remembered. It is longer than
+	// callers repeat a request, but short enough that a permanent one, such as an identical
+	// health check, does not accumulate unrelated crashes.
 	suspicionTime = 10 * time.Minute
 )
 
-// Life names a life of an endpoint in a few bytes. Two lives that share one count once.
-type Life uint64
+// Incarnation is a hash of an endpoint's incarnation. Incarnations with the same hash count
+// once.
+type Incarnation uint64
 
-// LifeOf returns the short name of a life.
-func LifeOf(l roster.Life) Life {
-	return Life(xxhash.Sum64String(l.ID + "\x00" + strconv.FormatInt(l.Born, 10)))
+// IncarnationOf returns the hash of an endpoint's incarnation.
+func IncarnationOf(l roster.Life) Incarnation {
+	return Incarnation(xxhash.Sum64String(l.ID + "\x00" + strconv.FormatInt(l.Born, 10)))
 }
 
-// Record is what gateways tell each other of a request. Records of one request are joined in
-// any order and as often as they come, with the same result.
+// Record is the state of a request that gateways exchange. Merging records of one request is
+// commutative, associative and idempotent.
 type Record struct {
 	Key Key
-	// Round counts how often the request was cleared: what was told of an earlier round does
-	// not count.
-	Round uint32
-	// Relapses counts the quarantines that have run out.
+	// Generation is the number of times that the request was cleared. Records of an earlier
+	// generation are ignored.
+	Generation uint32
+	// Relapses is the number of quarantines that have expired.
 	Relapses uint8
-	// Ends are the lives of endpoints that ended under the request in this round, in order
-	// of their names, each once and keptEnds at most.
-	Ends []Life
+	// Crashes are the endpoint incarnations that crashed while processing the request in this
+	// generation, sorted, without duplicates and limited to maxRecordedCrashes.
+	Crashes []Incarnation
 }
 
-// State is how far a request is suspected.
+// State is the level of suspicion against a request.
 type State int
 
 // The states of a request.
 const (
-	// Clear means that nothing is known against it.
+	// Clear means that no crash is recorded for the request.
 	Clear State = iota
-	// Suspected means that an endpoint has ended under it.
+	// Suspected means that an endpoint crashed while processing the request.
 	Suspected
-	// Quarantined means that it is sent to no endpoint.
+	// Quarantined means that the request is sent to no endpoint.
 	Quarantined
 )
 
-// State returns how far the request is suspected.
+// State returns the state of the request.
 func (r *Record) State() State {
-	limit := maxEnds
+	limit := crashThreshold
 	if r.Relapses > 0 {
-		limit = relapseEnds
+		limit = relapseCrashThreshold
 	}
 	switch {
-	case len(r.Ends) >= limit:
+	case len(r.Crashes) >= limit:
 		return Quarantined
-	case len(r.Ends) > 0:
+	case len(r.Crashes) > 0:
 		return Suspected
 	}
 	return Clear
 }
 
-// Explains returns whether some ends under another request are put down to this one: it is
-// quarantined, and more endpoints ended under it. A request that was quarantined before explains
-// its ends itself.
+// Explains returns whether the crashes that both requests share are attributed to r: it is
+// quarantined, and more endpoints crashed while processing it than o. The crashes of a request
+// that was quarantined before are always attributed to that request itself.
 func (r *Record) Explains(o *Record) bool {
-	if r.State() != Quarantined || len(o.Ends) >= len(r.Ends) || o.Relapses > 0 {
+	if r.State() != Quarantined || len(o.Crashes) >= len(r.Crashes) || o.Relapses > 0 {
 		return false
 	}
-	return slices.ContainsFunc(o.Ends, r.has)
+	return slices.ContainsFunc(o.Crashes, r.hasCrash)
 }
 
-func (r *Record) has(l Life) bool {
-	return slices.Contains(r.Ends, l)
+func (r *Record) hasCrash(l Incarnation) bool {
+	return slices.Contains(r.Crashes, l)
 }
 
-// without returns the record without the ends that another one has as well.
-func (r *Record) without(o *Record) Record {
+// withoutCrashesOf returns the record without the crashes that o has as well, in a new
+// generation.
+func (r *Record) withoutCrashesOf(o *Record) Record {
 	out := r.cleared()
-	for _, l := range r.Ends {
-		if !o.has(l) {
-			out.Ends = append(out.Ends, l)
+	for _, l := range r.Crashes {
+		if !o.hasCrash(l) {
+			out.Crashes = append(out.Crashes, l)
 		}
 	}
 	return out
 }
 
-// Join returns what two records of one request say together.
+// Join merges two records of one request.
 func Join(a, b Record) Record {
 	switch {
-	case a.Round > b.Round:
+	case a.Generation > b.Generation:
 		return a
-	case b.Round > a.Round:
+	case b.Generation > a.Generation:
 		return b
 	}
 	out := a
 	out.Relapses = max(a.Relapses, b.Relapses)
-	out.Ends = slices.Concat(a.Ends, b.Ends)
-	slices.Sort(out.Ends)
-	out.Ends = slices.Compact(out.Ends)
-	out.Ends = out.Ends[:min(len(out.Ends), keptEnds)]
+	out.Crashes = slices.Concat(a.Crashes, b.Crashes)
+	slices.Sort(out.Crashes)
+	out.Crashes = slices.Compact(out.Crashes)
+	out.Crashes = out.Crashes[:min(len(out.Crashes), maxRecordedCrashes)]
 	return out
 }
 
-// equal returns whether two records of one request say the same.
+// equal returns whether two records of one request are equal.
 func (r *Record) equal(o *Record) bool {
-	return r.Round == o.Round && r.Relapses == o.Relapses && slices.Equal(r.Ends, o.Ends)
+	return r.Generation == o.Generation && r.Relapses == o.Relapses && slices.Equal(r.Crashes, o.Crashes)
 }
 
-// cleared returns the record once the request is cleared.
+// cleared returns the record that replaces r when the request is cleared.
 func (r *Record) cleared() Record {
-	return Record{Key: r.Key, Round: r.Round + 1}
+	return Record{Key: r.Key, Generation: r.Generation + 1}
 }
 
-// relapsing returns the record once its quarantine has run out.
-func (r *Record) relapsing() Record {
-	return Record{Key: r.Key, Round: r.Round + 1, Relapses: min(r.Relapses, maxDoublings) + 1}
+// expired returns the record that replaces r when its quarantine expires.
+func (r *Record) expired() Record {
+	return Record{Key: r.Key, Generation: r.Generation + 1, Relapses: min(r.Relapses, maxDoublings) + 1}
 }
 
-// QuarantineTime returns how long a quarantine lasts after so many relapses.
+// QuarantineTime returns the duration of a quarantine after the given number of relapses.
 func QuarantineTime(relapses uint8) time.Duration {
 	return quarantineTime << min(relapses, maxDoublings)
 }
--- a/gateway/poison/record_test.go
+++ b/gateway/poison/record_test.go
@@ -10,16 +10,16 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// life returns the short name of the n-th endpoint's life.
-func life(n int) roster.Life {
+// incarnation returns the n-th incarnation of an endpoint.
+func incarnation(n int) roster.Life {
 	return roster.Life{ID: "e", Born: int64(n + 1)}
 }
 
-func record(round uint32, relapses uint8, ends ...poison.Life) poison.Record {
-	return poison.Record{Key: request().Key(), Round: round, Relapses: relapses, Ends: ends}
+func record(generation uint32, relapses uint8, crashes ...poison.Incarnation) poison.Record {
+	return poison.Record{Key: request().Key(), Generation: generation, Relapses: relapses, Crashes: crashes}
 }
 
-func TestAStateFollowsFromEndsAndRelapses(t *testing.T) {
+func TestStateDependsOnCrashesAndRelapses(t *testing.T) {
 	for _, c := range []struct {
 		record poison.Record
 		want   poison.State
@@ -35,15 +35,15 @@
 	}
 }
 
-func TestRecordsAreJoinedInAnyOrderAndAsOftenAsTheyCome(t *testing.T) {
+func TestJoinIsIdempotentCommutativeAndAssociative(t *testing.T) {
 	g := NewWithT(t)
 	r := rand.New(rand.NewPCG(1, 1))
 	draw := func() poison.Record {
 		out := record(uint32(r.IntN(2)), uint8(r.IntN(2)))
 		for range r.IntN(4) {
-			out.Ends = append(out.Ends, poison.Life(r.IntN(4)))
+			out.Crashes = append(out.Crashes, poison.Incarnation(r.IntN(4)))
 		}
-		return poison.Join(out, record(out.Round, 0)) // in order, as all that is told
+		return poison.Join(out, record(out.Generation, 0)) // sorted and without duplicates, as gossip is
 	}
 	for range 2000 {
 		a, b, c := draw(), draw(), draw()
@@ -53,25 +53,25 @@
 	}
 }
 
-func TestAnEndThatSeveralTellOfCountsOnce(t *testing.T) {
+func TestJoinCountsACrashOnce(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(poison.LifeOf(life(1))).To(Equal(poison.LifeOf(life(1))))
-	g.Expect(poison.LifeOf(life(1))).NotTo(Equal(poison.LifeOf(life(2))), "it started again")
-	g.Expect(poison.Join(record(0, 0, 7), record(0, 0, 7)).Ends).To(HaveLen(1))
+	g.Expect(poison.IncarnationOf(incarnation(1))).To(Equal(poison.IncarnationOf(incarnation(1))))
+	g.Expect(poison.IncarnationOf(incarnation(1))).NotTo(Equal(poison.IncarnationOf(incarnation(2))), "the endpoint was restarted")
+	g.Expect(poison.Join(record(0, 0, 7), record(0, 0, 7)).Crashes).To(HaveLen(1))
 }
 
-func TestWhatIsOfAnEarlierRoundDoesNotCount(t *testing.T) {
+func TestJoinIgnoresEarlierGenerations(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(poison.Join(record(1, 0), record(0, 0, 1, 2, 3))).To(Equal(record(1, 0)))
 }
 
-func TestRecordsComeBackAsTheyWereSent(t *testing.T) {
+func TestUnpackReversesPack(t *testing.T) {
 	g := NewWithT(t)
 	sent := []poison.Record{record(3, 1, 5, 6), record(0, 0), record(9, 0, 1, 2, 3)}
 	sent = append(sent, record(9, 0, 1, 2, 3, 4, 5, 6, 7, 8))
 	data := poison.Pack(sent)
 	g.Expect(poison.Unpack(data)).To(Equal(sent))
-	for n := range data { // cut anywhere it still names only records that were sent
+	for n := range data { // truncated anywhere, it yields only complete records
 		g.Expect(len(poison.Unpack(data[:n]))).To(BeNumerically("<", len(sent)))
 	}
 }
@@ -82,13 +82,13 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		g := NewWithT(t)
 		for _, r := range poison.Unpack(data) {
-			g.Expect(len(r.Ends)).To(BeNumerically("<=", 8))
+			g.Expect(len(r.Crashes)).To(BeNumerically("<=", 8))
 			g.Expect(poison.Unpack(poison.Pack([]poison.Record{r}))).To(Equal([]poison.Record{r}))
 		}
 	})
 }
 
-func TestAQuarantineLastsLongerWithEachRelapse(t *testing.T) {
+func TestQuarantineTimeDoublesWithEachRelapse(t *testing.T) {
 	g := NewWithT(t)
 	for n := range uint8(4) {
 		g.Expect(poison.QuarantineTime(n + 1)).To(Equal(2 * poison.QuarantineTime(n)))
--- a/gateway/poison/service.go
+++ b/gateway/poison/service.go
@@ -16,20 +16,20 @@
 	methodEnd   = ServiceName + ".End"
 )
 
-// Service gives leases on suspected requests to other gateways, by net/rpc under ServiceName.
-// It is safe for concurrent use.
+// Service grants leases on suspected requests to other gateways. It is registered with net/rpc
+// as ServiceName and safe for concurrent use.
 type Service struct {
 	table  *Table
 	trials *Trials
 }
 
-// NewService returns the service of a table and its trials.
+// NewService returns a Service for a table and its trials.
 func NewService(table *Table, trials *Trials) *Service {
 	return &Service{table: table, trials: trials}
 }
 
-// BeginRequest asks for the lease on a request. Holder names who asks, for one copy; it is
-// wanted for at most For. Records is the packed record of what the asker knows.
+// BeginRequest asks for the lease on a request. Holder identifies the one copy that it is for,
+// For is the maximum duration, and Records is the packed record of the requesting gateway.
 type BeginRequest struct {
 	Key     Key
 	Holder  string
@@ -37,14 +37,14 @@
 	Records []byte
 }
 
-// BeginReply tells whether the lease was given. Records is the packed record of what the
-// answering gateway knows.
+// BeginReply says whether the lease was granted. Records is the packed record of the granting
+// gateway.
 type BeginReply struct {
 	Given   bool
 	Records []byte
 }
 
-// EndRequest ends a lease. Records is the packed record of what was learned.
+// EndRequest releases a lease. Records is the packed record after the trial.
 type EndRequest struct {
 	Key     Key
 	Holder  string
@@ -54,24 +54,24 @@
 // EndReply is empty.
 type EndReply struct{}
 
-// Begin gives a lease, unless another has it or the request is quarantined.
+// Begin grants a lease, unless another holder has it or the request is quarantined.
 func (s *Service) Begin(q BeginRequest, reply *BeginReply) error {
 	now := time.Now()
-	s.table.Take(Unpack(q.Records), now)
+	s.table.Merge(Unpack(q.Records), now)
 	reply.Given = s.table.State(q.Key) != Quarantined && s.trials.Begin(q.Key, q.Holder, q.For, now)
 	reply.Records = Pack([]Record{s.table.Record(q.Key)})
 	return nil
 }
 
-// End takes in what was learned and ends the lease.
+// End merges the result of the trial and releases the lease.
 func (s *Service) End(q EndRequest, _ *EndReply) error {
-	s.table.Take(Unpack(q.Records), time.Now())
+	s.table.Merge(Unpack(q.Records), time.Now())
 	s.trials.End(q.Key, q.Holder)
 	return nil
 }
 
-// AskBegin asks the gateway at addr for a lease.
-func AskBegin(ctx context.Context, pool *peerconn.Pool, addr string, q BeginRequest) (*BeginReply, error) {
+// CallBegin calls Begin at the gateway at addr.
+func CallBegin(ctx context.Context, pool *peerconn.Pool, addr string, q BeginRequest) (*BeginReply, error) {
 	var reply BeginReply
 	if err := pool.Call(ctx, addr, methodBegin, q, &reply); err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 	return &reply, nil
 }
 
-// AskEnd ends a lease at the gateway at addr.
-func AskEnd(ctx context.Context, pool *peerconn.Pool, addr string, q EndRequest) error {
+// CallEnd calls End at the gateway at addr.
+func CallEnd(ctx context.Context, pool *peerconn.Pool, addr string, q EndRequest) error {
 	return pool.Call(ctx, addr, methodEnd, q, &EndReply{})
 }
--- a/gateway/poison/table.go
+++ b/gateway/poison/table.go
@@ -8,81 +8,82 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// Limits of a table and of what is told of it.
+// Limits of a table.
 const (
-	// maxRequests is how many requests are remembered, some 600 KB; the one that changed
-	// least of late goes first, suspected ones before quarantined ones. Endpoints of 16
-	// slots with as many waiting then end 128 times before one is forgotten.
+	// maxRequests is the maximum number of requests in a table, some 600 KB. Suspected requests
+	// are evicted before quarantined ones, the least recently changed first. Endpoints with 16
+	// slots and as many queued requests can crash 128 times before one is evicted.
 	maxRequests = 4096
-	// settleTime is how long nothing may have changed before the ends under one request are
-	// put down to another: requests that an end takes along are charged one by one, and what a
-	// lost datagram told comes with the next heartbeat.
+	// settleTime is how long two records must be unchanged before the crashes of one request are
+	// attributed to the other: the requests aborted by a crash are recorded one by one, and the
+	// content of a lost datagram arrives with the next heartbeat.
 	settleTime = 250 * time.Millisecond
 )
 
-// Cause says why a request was quarantined or cleared.
+// Cause says why the record of a request changed.
 type Cause string
 
 // The causes of changes.
 const (
-	// CauseEnds means that too many endpoints ended under it.
-	CauseEnds Cause = "ends"
-	// CauseAnswered means that an endpoint answered it whole.
+	// CauseCrashes means that endpoints crashed while processing the request.
+	CauseCrashes Cause = "ends"
+	// CauseAnswered means that an endpoint answered the request completely.
 	CauseAnswered Cause = "answered"
-	// CauseOperator means that an operator cleared it.
+	// CauseOperator means that an operator cleared the request.
 	CauseOperator Cause = "operator"
-	// CauseTime means that its quarantine has run out.
-	CauseTime Cause = "time"
-	// CauseExplained means that the endpoints ended under another request that was in progress
-	// there as well.
+	// CauseExpired means that the quarantine expired.
+	CauseExpired Cause = "time"
+	// CauseExplained means that the crashes were attributed to another request that was in
+	// progress at the same endpoints.
 	CauseExplained Cause = "explained"
-	// CauseTold means that another gateway told so.
-	CauseTold Cause = "told"
+	// CauseGossip means that the change came from another gateway.
+	CauseGossip Cause = "told"
 )
 
-// Change is a change of a request's record.
+// Change describes a change of a request's record.
 type Change struct {
 	Record Record
 	Before State
 	Cause  Cause
 }
 
-// Table is what a gateway knows of requests under which endpoints ended. It is safe for
+// Table records the requests that endpoints were processing when they crashed. It is safe for
 // concurrent use.
 type Table struct {
-	// changed hears of each change that is not told by others only; see NewTable.
-	changed func(Change)
-	// size is the number of requests, which is 0 nearly always.
+	// onChange is called with changes; see NewTable.
+	onChange func(Change)
+	// size is the number of requests, which is almost always 0.
 	size atomic.Int64
 
 	mu       sync.Mutex
 	requests map[Key]*request
-	// shapes counts the requests of a shape.
+	// shapes is the number of requests with each shape.
 	shapes map[Shape]int
-	// toldAt is when all quarantined requests were told last.
-	toldAt time.Time
+	// quarantineSentAt is when Gossip last returned all quarantined requests.
+	quarantineSentAt time.Time
 }
 
-// request is what is known of one request.
+// request is the table's entry for a request.
 type request struct {
 	Record
-	// changedAt is when the record changed last.
+	// changedAt is when the record last changed.
 	changedAt time.Time
-	// ownUntil is until when the last change of this gateway's own is told, however much others
-	// tell meanwhile, newsUntil the same for a change that any gateway told.
-	ownUntil, newsUntil time.Time
+	// gossipOwnUntil is the time until which this gateway's own last change is included in its
+	// heartbeats, whatever other gateways send meanwhile. gossipUntil is the same for a change
+	// from any gateway.
+	gossipOwnUntil, gossipUntil time.Time
 }
 
-// NewTable returns an empty table. changed is called with each change of a state, and with
-// each change of a record that did not come from another gateway; it must not wait nor use
+// NewTable returns an empty table. onChange is called with each change of a state, and with each
+// change of a record that did not come from another gateway. It must neither block nor use
 // the table.
-func NewTable(changed func(Change)) *Table {
-	return &Table{changed: changed, requests: map[Key]*request{}, shapes: map[Shape]int{}}
+func NewTable(onChange func(Change)) *Table {
+	return &Table{onChange: onChange, requests: map[Key]*request{}, shapes: map[Shape]int{}}
 }
 
-// Look returns how far a request is suspected, and its key where it is. While no endpoint has
-// ended it costs 20 ns, while others are suspected 160 ns (BenchmarkLook).
-func (t *Table) Look(r *Request) (State, Key) {
+// Lookup returns the state of a request, and its key if it is not clear. It takes 20 ns while the
+// table is empty and 160 ns while it holds other requests (BenchmarkLookup).
+func (t *Table) Lookup(r *Request) (State, Key) {
 	if t.size.Load() == 0 || !t.hasShape(r.Shape()) {
 		return Clear, Key{}
 	}
@@ -90,7 +91,7 @@
 	return t.State(k), k
 }
 
-// State returns how far the request with a key is suspected.
+// State returns the state of the request with the given key.
 func (t *Table) State(k Key) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,7 +107,7 @@
 	return t.shapes[s] > 0
 }
 
-// Record returns what is known of the request with a key.
+// Record returns the record of the request with the given key.
 func (t *Table) Record(k Key) Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,24 +117,24 @@
 	return Record{Key: k}
 }
 
-// Ended notes that an endpoint ended while it had a request, and returns how far that is
-// suspected now.
-func (t *Table) Ended(r *Request, l roster.Life, now time.Time) State {
+// RecordCrash records that an endpoint crashed while processing a request, and returns the
+// resulting state of the request.
+func (t *Table) RecordCrash(r *Request, l roster.Life, now time.Time) State {
 	k := r.Key()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.dropExplained(now)
-	next := Record{Key: k, Ends: []Life{LifeOf(l)}}
+	next := Record{Key: k, Crashes: []Incarnation{IncarnationOf(l)}}
 	if q := t.requests[k]; q != nil {
-		next.Round = q.Round
+		next.Generation = q.Generation
 	}
-	return t.put(next, true, CauseEnds, now)
+	return t.update(next, true, CauseCrashes, now)
 }
 
-// Answered notes that an endpoint answered a request whole: it does not end each endpoint
-// that begins it.
-func (t *Table) Answered(r *Request, now time.Time) {
-	state, k := t.Look(r)
+// RecordAnswer clears a request that an endpoint answered completely: it does not crash every
+// endpoint that starts to process it.
+func (t *Table) RecordAnswer(r *Request, now time.Time) {
+	state, k := t.Lookup(r)
 	if state == Clear {
 		return
 	}
@@ -144,22 +145,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if q := t.requests[k]; q != nil {
-		t.put(q.cleared(), true, cause, now)
+		t.update(q.cleared(), true, cause, now)
 	}
 }
 
-// Take takes in what another gateway told, and returns whether it was news.
-func (t *Table) Take(records []Record, now time.Time) bool {
+// Merge merges records from another gateway, and returns whether they changed the table.
+func (t *Table) Merge(records []Record, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	news := false
+	changed := false
 	for _, r := range records {
 		before := t.requests[r.Key]
 		if before == nil && r.State() == Clear {
-			continue // it is not suspected here
+			continue // not suspected here either
 		}
-		if before != nil && before.Round > r.Round {
-			before.ownUntil = now.Add(newsTime) // who told does not know
+		if before != nil && before.Generation > r.Generation {
+			before.gossipOwnUntil = now.Add(gossipTime) // the sender is out of date
 			continue
 		}
 		if before != nil {
@@ -167,18 +168,19 @@
 				continue
 			}
 		}
-		t.put(r, false, CauseTold, now)
-		news = true
+		t.update(r, false, CauseGossip, now)
+		changed = true
 	}
-	return news
+	return changed
 }
 
-// put joins a record with what is known and returns the state. The caller holds the lock.
-func (t *Table) put(r Record, own bool, cause Cause, now time.Time) State {
+// update merges a record into the table and returns the resulting state. The caller holds the
+// lock.
+func (t *Table) update(r Record, own bool, cause Cause, now time.Time) State {
 	q := t.requests[r.Key]
 	if q == nil {
-		t.makeRoom()
-		q = &request{Record: Record{Key: r.Key, Round: r.Round}}
+		t.evict()
+		q = &request{Record: Record{Key: r.Key, Generation: r.Generation}}
 		t.requests[r.Key] = q
 		t.shapes[r.Key.Shape]++
 		t.size.Add(1)
@@ -188,32 +190,32 @@
 	if joined.equal(&q.Record) {
 		return before
 	}
-	q.Record, q.changedAt, q.newsUntil = joined, now, now.Add(newsTime)
+	q.Record, q.changedAt, q.gossipUntil = joined, now, now.Add(gossipTime)
 	if own {
-		q.ownUntil = q.newsUntil
+		q.gossipOwnUntil = q.gossipUntil
 	}
 	if own || q.State() != before {
-		t.changed(Change{Record: joined, Before: before, Cause: cause})
+		t.onChange(Change{Record: joined, Before: before, Cause: cause})
 	}
 	return q.State()
 }
 
-// makeRoom forgets a request where there are too many. The caller holds the lock.
-func (t *Table) makeRoom() {
+// evict removes a request if the table is full. The caller holds the lock.
+func (t *Table) evict() {
 	if len(t.requests) < maxRequests {
 		return
 	}
 	var oldest *request
 	for _, q := range t.requests {
-		if oldest == nil || q.before(oldest) {
+		if oldest == nil || q.evictedBefore(oldest) {
 			oldest = q
 		}
 	}
 	t.remove(oldest)
 }
 
-// before returns whether q is forgotten before o.
-func (q *request) before(o *request) bool {
+// evictedBefore returns whether q is evicted before o.
+func (q *request) evictedBefore(o *request) bool {
 	if held, other := q.State() == Quarantined, o.State() == Quarantined; held != other {
 		return other
 	}
@@ -228,7 +230,8 @@
 	t.size.Add(-1)
 }
 
-// dropExplained drops the ends that other requests explain. The caller holds the lock.
+// dropExplained removes crashes that are attributed to other requests. The caller holds the
+// lock.
 func (t *Table) dropExplained(now time.Time) {
 	for _, q := range t.requests {
 		if q.State() != Quarantined || now.Sub(q.changedAt) < settleTime {
@@ -236,21 +239,21 @@
 		}
 		for _, other := range t.requests {
 			if q.Explains(&other.Record) && now.Sub(other.changedAt) >= settleTime {
-				t.put(other.without(&q.Record), true, CauseExplained, now)
+				t.update(other.withoutCrashesOf(&q.Record), true, CauseExplained, now)
 			}
 		}
 	}
 }
 
-// expire ends quarantines that have run out and forgets what changed long ago. The caller
-// holds the lock.
+// expire ends expired quarantines and removes requests that have not changed for a long time.
+// The caller holds the lock.
 func (t *Table) expire(now time.Time) {
 	t.dropExplained(now)
 	for _, q := range t.requests {
 		age := now.Sub(q.changedAt)
 		switch {
 		case q.State() == Quarantined && age >= QuarantineTime(q.Relapses):
-			t.put(q.relapsing(), true, CauseTime, now)
+			t.update(q.expired(), true, CauseExpired, now)
 		case q.State() == Quarantined:
 		case age >= suspicionTime && q.Relapses == 0, age >= QuarantineTime(maxDoublings):
 			t.remove(q)
--- a/gateway/poison/table_test.go
+++ b/gateway/poison/table_test.go
@@ -11,7 +11,7 @@
 	"github.com/silverdeck/silverdeck/gateway/poison"
 )
 
-// gateway is a table and what it told of its changes.
+// gateway is a table with the causes of the changes that it reported.
 type gateway struct {
 	*poison.Table
 	causes []poison.Cause
@@ -23,199 +23,199 @@
 	return g
 }
 
-// began is when each test begins.
-var began = time.Unix(1000, 0)
+// start is the time at which each test begins.
+var start = time.Unix(1000, 0)
 
-func at(d time.Duration) time.Time { return began.Add(d) }
+func at(d time.Duration) time.Time { return start.Add(d) }
 
-// ends makes n endpoints end under a request.
-func (g *gateway) ends(r *poison.Request, n int) poison.State {
+// crash records crashes of n endpoints that were processing a request.
+func (g *gateway) crash(r *poison.Request, n int) poison.State {
 	state := poison.Clear
 	for i := range n {
-		state = g.Ended(r, life(i), began)
+		state = g.RecordCrash(r, incarnation(i), start)
 	}
 	return state
 }
 
 func (g *gateway) state(r *poison.Request) poison.State {
-	state, _ := g.Look(r)
+	state, _ := g.Lookup(r)
 	return state
 }
 
-func TestThreeEndsQuarantineARequest(t *testing.T) {
+func TestThreeCrashesQuarantineARequest(t *testing.T) {
 	g, x := NewWithT(t), newGateway()
 	g.Expect(x.state(request())).To(Equal(poison.Clear))
-	g.Expect(x.ends(request(), 2)).To(Equal(poison.Suspected))
-	g.Expect(x.Ended(request(), life(1), began)).To(Equal(poison.Suspected), "the same end, told by another connection")
-	g.Expect(x.Ended(request(), life(2), began)).To(Equal(poison.Quarantined))
+	g.Expect(x.crash(request(), 2)).To(Equal(poison.Suspected))
+	g.Expect(x.RecordCrash(request(), incarnation(1), start)).To(Equal(poison.Suspected), "the same crash, detected on another connection")
+	g.Expect(x.RecordCrash(request(), incarnation(2), start)).To(Equal(poison.Quarantined))
 	g.Expect(x.state(request())).To(Equal(poison.Quarantined))
 	same := request()
 	same.Body = []byte("ydob")
-	g.Expect(x.state(same)).To(Equal(poison.Clear), "of the same shape")
+	g.Expect(x.state(same)).To(Equal(poison.Clear), "another request with the same shape")
 }
 
-func TestAWholeAnswerClearsARequest(t *testing.T) {
+func TestACompleteAnswerClearsARequest(t *testing.T) {
 	g, x := NewWithT(t), newGateway()
-	x.ends(request(), 2)
-	x.Answered(request(), began)
+	x.crash(request(), 2)
+	x.RecordAnswer(request(), start)
 	g.Expect(x.state(request())).To(Equal(poison.Clear))
-	g.Expect(x.ends(request(), 2)).To(Equal(poison.Suspected), "they count anew")
+	g.Expect(x.crash(request(), 2)).To(Equal(poison.Suspected), "the count starts again")
 	g.Expect(x.causes).To(ContainElement(poison.CauseAnswered))
 }
 
 func TestAnOperatorClearsARequest(t *testing.T) {
 	g, x := NewWithT(t), newGateway()
-	x.ends(request(), 3)
-	g.Expect(x.Clear(request().Key().String(), began)).To(Succeed())
+	x.crash(request(), 3)
+	g.Expect(x.Clear(request().Key().String(), start)).To(Succeed())
 	g.Expect(x.state(request())).To(Equal(poison.Clear))
 	var unknown *poison.UnknownKeyError
-	g.Expect(errors.As(x.Clear(request().Key().String(), began), &unknown)).To(BeTrue())
-	g.Expect(x.List(began)).To(BeEmpty())
+	g.Expect(errors.As(x.Clear(request().Key().String(), start), &unknown)).To(BeTrue())
+	g.Expect(x.List(start)).To(BeEmpty())
 }
 
-func TestAQuarantineRunsOutAndComesBackWithTheNextEnd(t *testing.T) {
+func TestAnExpiredQuarantineReturnsWithTheNextCrash(t *testing.T) {
 	g, x := NewWithT(t), newGateway()
-	x.ends(request(), 3)
+	x.crash(request(), 3)
 	left := poison.QuarantineTime(0)
-	x.News(false, at(left-time.Millisecond))
+	x.Gossip(false, at(left-time.Millisecond))
 	g.Expect(x.state(request())).To(Equal(poison.Quarantined))
-	x.News(false, at(left))
+	x.Gossip(false, at(left))
 	g.Expect(x.state(request())).To(Equal(poison.Clear))
-	g.Expect(x.Ended(request(), life(9), at(left))).To(Equal(poison.Quarantined))
-	x.News(false, at(left+poison.QuarantineTime(1)-time.Millisecond))
+	g.Expect(x.RecordCrash(request(), incarnation(9), at(left))).To(Equal(poison.Quarantined))
+	x.Gossip(false, at(left+poison.QuarantineTime(1)-time.Millisecond))
 	g.Expect(x.state(request())).To(Equal(poison.Quarantined))
 }
 
-func TestSuspicionIsForgotten(t *testing.T) {
+func TestSuspicionExpires(t *testing.T) {
 	g, x := NewWithT(t), newGateway()
-	x.ends(request(), 2)
-	x.News(false, at(10*time.Minute-time.Millisecond))
+	x.crash(request(), 2)
+	x.Gossip(false, at(10*time.Minute-time.Millisecond))
 	g.Expect(x.state(request())).To(Equal(poison.Suspected))
-	x.News(false, at(10*time.Minute))
+	x.Gossip(false, at(10*time.Minute))
 	g.Expect(x.state(request())).To(Equal(poison.Clear))
 }
 
-func TestEndsOfSeveralGatewaysCountTogether(t *testing.T) {
+func TestCrashesSeenByDifferentGatewaysAddUp(t *testing.T) {
 	g, x, y := NewWithT(t), newGateway(), newGateway()
-	x.ends(request(), 2)
-	y.Ended(request(), life(2), began)
-	g.Expect(y.Take(x.News(false, began), began)).To(BeTrue())
+	x.crash(request(), 2)
+	y.RecordCrash(request(), incarnation(2), start)
+	g.Expect(y.Merge(x.Gossip(false, start), start)).To(BeTrue())
 	g.Expect(y.state(request())).To(Equal(poison.Quarantined))
-	g.Expect(y.Take(x.News(false, began), began)).To(BeFalse(), "it is known")
-	g.Expect(x.Take(y.News(false, began), began)).To(BeTrue())
+	g.Expect(y.Merge(x.Gossip(false, start), start)).To(BeFalse(), "already known")
+	g.Expect(x.Merge(y.Gossip(false, start), start)).To(BeTrue())
 	g.Expect(x.state(request())).To(Equal(poison.Quarantined))
 }
 
-func TestNewsIsToldForASecondAndWhatIsQuarantinedAlways(t *testing.T) {
+func TestGossipRepeatsChangesForASecondAndQuarantinesForever(t *testing.T) {
 	g, x := NewWithT(t), newGateway()
-	x.ends(request(), 1)
-	g.Expect(x.News(false, at(time.Second-1))).To(HaveLen(1))
-	g.Expect(x.News(false, at(time.Second))).To(BeEmpty())
-	x.ends(request(), 3)
+	x.crash(request(), 1)
+	g.Expect(x.Gossip(false, at(time.Second-1))).To(HaveLen(1))
+	g.Expect(x.Gossip(false, at(time.Second))).To(BeEmpty())
+	x.crash(request(), 3)
 	told := 0
-	for i := range 50 { // heartbeats of ten seconds, from later on
-		told += len(x.News(false, at(time.Minute+time.Duration(i)*200*time.Millisecond)))
+	for i := range 50 { // the heartbeats of ten seconds, a minute later
+		told += len(x.Gossip(false, at(time.Minute+time.Duration(i)*200*time.Millisecond)))
 	}
 	g.Expect(told).To(Equal(10))
 }
 
-func TestWhatOthersToldIsToldOnByRelaysOnly(t *testing.T) {
+func TestOnlyRelaysForwardGossip(t *testing.T) {
 	g, x, y := NewWithT(t), newGateway(), newGateway()
-	x.ends(request(), 1)
-	y.Take(x.News(false, began), began)
-	g.Expect(y.News(false, began)).To(BeEmpty())
-	g.Expect(y.News(true, began)).To(HaveLen(1))
+	x.crash(request(), 1)
+	y.Merge(x.Gossip(false, start), start)
+	g.Expect(y.Gossip(false, start)).To(BeEmpty())
+	g.Expect(y.Gossip(true, start)).To(HaveLen(1))
 }
 
-func TestWhoTellsOfAnEarlierRoundIsTold(t *testing.T) {
+func TestGossipAnswersRecordsOfEarlierGenerations(t *testing.T) {
 	g, x, y := NewWithT(t), newGateway(), newGateway()
-	x.ends(request(), 3)
-	y.Take(x.News(false, began), began)
-	g.Expect(x.Clear(request().Key().String(), began)).To(Succeed())
-	later := at(time.Minute) // y was cut off meanwhile
-	g.Expect(x.News(false, later)).To(BeEmpty())
-	x.Take(y.News(false, later), later)
-	y.Take(x.News(false, later), later)
+	x.crash(request(), 3)
+	y.Merge(x.Gossip(false, start), start)
+	g.Expect(x.Clear(request().Key().String(), start)).To(Succeed())
+	later := at(time.Minute) // y was partitioned meanwhile
+	g.Expect(x.Gossip(false, later)).To(BeEmpty())
+	x.Merge(y.Gossip(false, later), later)
+	y.Merge(x.Gossip(false, later), later)
 	g.Expect(y.state(request())).To(Equal(poison.Clear))
 }
 
-func TestATableIsBoundedAndKeepsWhatIsQuarantined(t *testing.T) {
+func TestTableIsBoundedAndKeepsQuarantinedRequests(t *testing.T) {
 	g, x := NewWithT(t), newGateway()
-	x.ends(request(), 3)
+	x.crash(request(), 3)
 	for i := range 6000 {
 		r := request()
 		r.Body = fmt.Append(nil, i)
-		x.Ended(r, life(i), at(time.Duration(i)))
+		x.RecordCrash(r, incarnation(i), at(time.Duration(i)))
 	}
 	g.Expect(x.state(request())).To(Equal(poison.Quarantined))
-	g.Expect(x.List(began)).To(HaveLen(4096))
-	g.Expect(len(x.News(true, at(time.Millisecond)))).To(Equal(128))
-	g.Expect(len(poison.Pack(x.News(true, at(time.Millisecond))))).To(BeNumerically("<", 8<<10))
+	g.Expect(x.List(start)).To(HaveLen(4096))
+	g.Expect(len(x.Gossip(true, at(time.Millisecond)))).To(Equal(128))
+	g.Expect(len(poison.Pack(x.Gossip(true, at(time.Millisecond))))).To(BeNumerically("<", 8<<10))
 }
 
-func BenchmarkLook(b *testing.B) {
-	for name, n := range map[string]int{"nothing suspected": 0, "others suspected": 100} {
+func BenchmarkLookup(b *testing.B) {
+	for name, n := range map[string]int{"empty table": 0, "other requests": 100} {
 		b.Run(name, func(b *testing.B) {
 			x := newGateway()
 			for i := range n {
 				r := request()
 				r.URI = fmt.Sprint(i)
-				x.Ended(r, life(i), began)
+				x.RecordCrash(r, incarnation(i), start)
 			}
 			r := request()
 			for b.Loop() {
-				x.Look(r)
+				x.Lookup(r)
 			}
 		})
 	}
 }
 
-// Two gateways see one end each at the same moment. What one hears of the other must not end
-// its own telling: a third gateway may have lost it.
-func TestWhatOthersTellDoesNotEndWhatIsTold(t *testing.T) {
+// Two gateways detect one crash each at the same moment. A gateway must continue to send its own
+// change after it has received the other's, because a third gateway may have lost the datagram.
+func TestReceivedGossipDoesNotStopOwnGossip(t *testing.T) {
 	g, x, y := NewWithT(t), newGateway(), newGateway()
-	x.Ended(request(), life(1), began)
-	y.Ended(request(), life(2), began)
-	x.Take(y.News(false, began), began)
-	g.Expect(x.News(false, at(900*time.Millisecond))).To(HaveLen(1))
+	x.RecordCrash(request(), incarnation(1), start)
+	y.RecordCrash(request(), incarnation(2), start)
+	x.Merge(y.Gossip(false, start), start)
+	g.Expect(x.Gossip(false, at(900*time.Millisecond))).To(HaveLen(1))
 }
 
-// another is a request that ends nothing.
+// another returns a request that crashes no endpoint.
 func another() *poison.Request {
 	r := request()
 	r.URI = "/another"
 	return r
 }
 
-// Copies of a request that ends endpoints are under way at several, and one that goes on
-// elsewhere after each end meets them there.
-func TestARequestIsQuarantinedWithTheOneThatEndsItsEndpoints(t *testing.T) {
+// An innocent request that is retried after each crash may meet further copies of the poison
+// request at the next endpoints, and must not be quarantined with it.
+func TestSharedCrashesAreAttributedToThePoisonRequest(t *testing.T) {
 	for name, c := range map[string]struct {
-		// blamed and beside are the endpoints that ended under the request to blame and under
-		// the other one.
+		// blamed and beside are the endpoints that crashed while processing the poison request
+		// and the other one.
 		blamed, beside []int
 		want           poison.State
 	}{
-		"three of four":                         {[]int{0, 1, 2, 3}, []int{1, 2, 3}, poison.Clear},
-		"two of three":                          {[]int{0, 1, 2}, []int{0, 2}, poison.Clear},
-		"the same three: nothing tells which":   {[]int{0, 1, 2}, []int{0, 1, 2}, poison.Quarantined},
-		"two of them and one that crashed":      {[]int{0, 1, 2, 3}, []int{1, 2, 4}, poison.Suspected},
-		"three that nothing explains":           {[]int{0, 1, 2, 3}, []int{4, 5, 6}, poison.Quarantined},
-		"the other is not known to be to blame": {[]int{0, 1}, []int{0}, poison.Suspected},
+		"three of four": {[]int{0, 1, 2, 3}, []int{1, 2, 3}, poison.Clear},
+		"two of three":  {[]int{0, 1, 2}, []int{0, 2}, poison.Clear},
+		"the same three, so the cause is unknown": {[]int{0, 1, 2}, []int{0, 1, 2}, poison.Quarantined},
+		"two shared and one unrelated crash":      {[]int{0, 1, 2, 3}, []int{1, 2, 4}, poison.Suspected},
+		"three unrelated crashes":                 {[]int{0, 1, 2, 3}, []int{4, 5, 6}, poison.Quarantined},
+		"the other is not quarantined":            {[]int{0, 1}, []int{0}, poison.Suspected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g, x, y := NewWithT(t), newGateway(), newGateway()
 			for _, i := range c.beside {
-				y.Ended(another(), life(i), began)
+				y.RecordCrash(another(), incarnation(i), start)
 			}
 			for _, i := range c.blamed {
-				x.Ended(request(), life(i), began)
+				x.RecordCrash(request(), incarnation(i), start)
 			}
 			blamed := x.state(request())
 			for ms := 0; ms < 2000; ms += 200 {
 				now := at(time.Duration(ms) * time.Millisecond)
-				x.Take(y.News(false, now), now)
-				y.Take(x.News(false, now), now)
+				x.Merge(y.Gossip(false, now), now)
+				y.Merge(x.Gossip(false, now), now)
 			}
 			for _, all := range []*gateway{x, y} {
 				g.Expect(all.state(another())).To(Equal(c.want))
@@ -225,24 +225,26 @@
 	}
 }
 
-// What comes to be known a moment later may be the end that both have in common.
-func TestNobodyIsClearedForAnotherAtOnce(t *testing.T) {
+// A crash that is reported a moment later may be shared by both requests, in which case neither
+// explains the other.
+func TestCrashesAreNotAttributedBeforeTheySettle(t *testing.T) {
 	g, x := NewWithT(t), newGateway()
-	x.ends(another(), 3)
-	x.ends(request(), 2)
-	x.News(false, at(200*time.Millisecond))
+	x.crash(another(), 3)
+	x.crash(request(), 2)
+	x.Gossip(false, at(200*time.Millisecond))
 	g.Expect(x.state(request())).To(Equal(poison.Suspected), "not yet")
-	x.Ended(request(), life(2), at(200*time.Millisecond))
-	x.News(false, at(time.Second))
+	x.RecordCrash(request(), incarnation(2), at(200*time.Millisecond))
+	x.Gossip(false, at(time.Second))
 	g.Expect(x.state(request())).To(Equal(poison.Quarantined))
 	g.Expect(x.state(another())).To(Equal(poison.Quarantined))
 }
 
-// An endpoint that crashes by itself a moment later must not be the one end too many.
-func TestAnEndIsNotAddedToThoseThatAnotherRequestExplains(t *testing.T) {
+// An unrelated crash a moment later must not reach the threshold together with crashes that
+// another request explains.
+func TestExplainedCrashesAreNotAddedToLaterOnes(t *testing.T) {
 	g, x := NewWithT(t), newGateway()
-	x.ends(request(), 4)
-	x.ends(another(), 2)
-	g.Expect(x.Ended(another(), life(9), at(300*time.Millisecond))).To(Equal(poison.Suspected))
-	g.Expect(x.Record(another().Key()).Ends).To(HaveLen(1))
+	x.crash(request(), 4)
+	x.crash(another(), 2)
+	g.Expect(x.RecordCrash(another(), incarnation(9), at(300*time.Millisecond))).To(Equal(poison.Suspected))
+	g.Expect(x.Record(another().Key()).Crashes).To(HaveLen(1))
 }
--- a/gateway/poison/trials.go
+++ b/gateway/poison/trials.go
@@ -8,16 +8,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxTrial bounds a trial, so that one whose gateway has died holds nobody up for long:
-// longer than callers wait for an answer.
-const maxTrial = 10 * time.Second
+// maxTrialTime limits a lease, so that one whose gateway has crashed does not block others for
+// long. It is longer than callers wait for a response.
+const maxTrialTime = 10 * time.Second
 
-// maxTrials bounds the trials that a gateway keeps for others. As many as requests are
-// remembered.
+// maxTrials is the maximum number of leases that a gateway keeps, the same as that of requests
+// in a table.
 const maxTrials = maxRequests
 
-// Owner returns which of the gateways with these names keeps the trials of a request: the one
-// with the highest hash of both, so that a gateway that comes or goes changes few.
+// Owner returns which of the named gateways keeps the lease on a request. It uses rendezvous
+// hashing, so that few requests change their owner when a gateway joins or leaves.
 func Owner(k Key, names []string) string {
 	best, most := "", uint64(0)
 	for _, name := range names {
@@ -29,9 +29,9 @@
 	return best
 }
 
-// Trials are leases on suspected requests: of all copies in the fleet one at a time is sent
-// to an endpoint, so that what several know of it together is not three endpoints late. It
-// is safe for concurrent use.
+// Trials are the leases on suspected requests. Of all copies in the fleet, one at a time is sent
+// to an endpoint, so that crashes at several gateways are known to all before the next copy is
+// sent. Trials is safe for concurrent use.
 type Trials struct {
 	mu     sync.Mutex
 	trials map[Key]trial
@@ -43,13 +43,13 @@
 	until  time.Time
 }
 
-// NewTrials returns Trials without any.
+// NewTrials returns a Trials without leases.
 func NewTrials() *Trials {
 	return &Trials{trials: map[Key]trial{}}
 }
 
-// Begin gives a lease for at most d to a holder and returns true, or returns false while
-// another has it.
+// Begin grants a holder the lease on a request for at most d. It returns false while the lease
+// is held.
 func (t *Trials) Begin(k Key, holder string, d time.Duration, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,13 +60,13 @@
 		t.expire(now)
 	}
 	if len(t.trials) >= maxTrials {
-		return true // better two copies at a time than none
+		return true // two copies at a time are better than none
 	}
-	t.trials[k] = trial{holder: holder, until: now.Add(min(d, maxTrial))}
+	t.trials[k] = trial{holder: holder, until: now.Add(min(d, maxTrialTime))}
 	return true
 }
 
-// End ends the lease of a holder.
+// End releases the lease of a holder.
 func (t *Trials) End(k Key, holder string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// expire forgets leases that have run out. The caller holds the lock.
+// expire removes expired leases. The caller holds the lock.
 func (t *Trials) expire(now time.Time) {
 	for k, held := range t.trials {
 		if !now.Before(held.until) {
--- a/gateway/poison/trials_test.go
+++ b/gateway/poison/trials_test.go
@@ -13,33 +13,33 @@
 func TestOneCopyIsTriedAtATime(t *testing.T) {
 	g, x := NewWithT(t), poison.NewTrials()
 	k, other := request().Key(), (&poison.Request{}).Key()
-	g.Expect(x.Begin(k, "a", time.Second, began)).To(BeTrue())
-	g.Expect(x.Begin(k, "b", time.Second, began)).To(BeFalse())
-	g.Expect(x.Begin(other, "b", time.Second, began)).To(BeTrue())
+	g.Expect(x.Begin(k, "a", time.Second, start)).To(BeTrue())
+	g.Expect(x.Begin(k, "b", time.Second, start)).To(BeFalse())
+	g.Expect(x.Begin(other, "b", time.Second, start)).To(BeTrue())
 	x.End(k, "b")
-	g.Expect(x.Begin(k, "b", time.Second, began)).To(BeFalse(), "it is not b's to end")
+	g.Expect(x.Begin(k, "b", time.Second, start)).To(BeFalse(), "b does not hold the lease")
 	x.End(k, "a")
-	g.Expect(x.Begin(k, "b", time.Second, began)).To(BeTrue())
+	g.Expect(x.Begin(k, "b", time.Second, start)).To(BeTrue())
 }
 
-func TestATrialOfAGatewayThatDiedRunsOut(t *testing.T) {
+func TestTheTrialOfACrashedGatewayExpires(t *testing.T) {
 	g, x := NewWithT(t), poison.NewTrials()
 	k := request().Key()
-	x.Begin(k, "a", time.Second, began)
+	x.Begin(k, "a", time.Second, start)
 	g.Expect(x.Begin(k, "b", time.Second, at(time.Second-1))).To(BeFalse())
 	g.Expect(x.Begin(k, "b", time.Hour, at(time.Second))).To(BeTrue())
-	g.Expect(x.Begin(k, "c", time.Second, at(11*time.Second))).To(BeTrue(), "a trial is bounded")
+	g.Expect(x.Begin(k, "c", time.Second, at(11*time.Second))).To(BeTrue(), "the duration of a trial is bounded")
 }
 
 func TestTrialsAreBounded(t *testing.T) {
 	g, x := NewWithT(t), poison.NewTrials()
 	for i := range 5000 {
 		k := (&poison.Request{URI: fmt.Sprint(i)}).Key()
-		g.Expect(x.Begin(k, "a", time.Second, began)).To(BeTrue())
+		g.Expect(x.Begin(k, "a", time.Second, start)).To(BeTrue())
 	}
 }
 
-func TestOwnersAreSpreadAndChangeLittle(t *testing.T) {
+func TestOwnersAreBalancedAndChangeLittle(t *testing.T) {
 	g := NewWithT(t)
 	var names []string
 	for i := range 10 {
@@ -55,23 +55,23 @@
 			moved++
 		}
 	}
-	g.Expect(moved).To(BeZero(), "only those of the gateway that went")
+	g.Expect(moved).To(BeZero(), "only requests of the gateway that left change their owner")
 	for _, name := range names {
 		g.Expect(owned[name]).To(BeNumerically("~", keys/len(names), keys/len(names)/2), name)
 	}
 }
 
-func TestTheServiceKeepsLeasesAndLearns(t *testing.T) {
+func TestServiceGrantsLeasesAndMergesRecords(t *testing.T) {
 	g, x := NewWithT(t), newGateway()
 	s := poison.NewService(x.Table, poison.NewTrials())
 	k := request().Key()
 	asker := newGateway()
-	asker.ends(request(), 1)
+	asker.crash(request(), 1)
 	var reply poison.BeginReply
 	g.Expect(s.Begin(poison.BeginRequest{Key: k, Holder: "a", For: time.Second, Records: poison.Pack([]poison.Record{asker.Record(k)})}, &reply)).To(Succeed())
 	g.Expect(reply.Given).To(BeTrue())
 	g.Expect(x.state(request())).To(Equal(poison.Suspected))
-	asker.ends(request(), 3)
+	asker.crash(request(), 3)
 	g.Expect(s.End(poison.EndRequest{Key: k, Holder: "a", Records: poison.Pack([]poison.Record{asker.Record(k)})}, &poison.EndReply{})).To(Succeed())
 	reply = poison.BeginReply{}
 	g.Expect(s.Begin(poison.BeginRequest{Key: k, Holder: "b", For: time.Second}, &reply)).To(Succeed())
--- a/gateway/policy/answer.go
+++ b/gateway/policy/answer.go
@@ -6,21 +6,21 @@
 	"github.com/silverdeck/silverdeck/verdict"
 )
 
-// AnswerHead is the head of an endpoint's answer.
-type AnswerHead struct {
+// ResponseHead describes the head of an endpoint's response.
+type ResponseHead struct {
 	// Status is the HTTP status.
 	Status int
-	// NotRun is set when the endpoint says that it did not run the request.
+	// NotRun is set when the endpoint states that it did not run the request.
 	NotRun bool
-	// OtherRequest is set when the answer names another request.
+	// OtherRequest is set when the response carries the ID of another request.
 	OtherRequest bool
-	// Signed is set when the answer carries the endpoint's signature.
+	// Signed is set when the response carries the endpoint's signature.
 	Signed bool
 }
 
-// JudgeAnswer returns why an answer can't be passed on, or nil. Callers must not
-// see a status that promises more than is known, nor an answer that is not theirs.
-func JudgeAnswer(a AnswerHead) *verdict.Error {
+// CheckResponse returns the reason why a response can't be forwarded, or nil. A caller must
+// not receive a status that promises more than is known, nor a response to another request.
+func CheckResponse(a ResponseHead) *verdict.Error {
 	switch {
 	case a.Status == http.StatusMisdirectedRequest:
 		return verdict.NewError(verdict.NotRun, CodeMisdirected, "another endpoint has the address")
@@ -30,21 +30,22 @@
 		return verdict.NewError(verdict.MayHaveRun, verdict.CodeCrossed, "answer to another request")
 	case a.Status < http.StatusMultipleChoices && !a.Signed:
 		return verdict.NewError(verdict.MayHaveRun, verdict.CodeCut, "answer without a signature")
-	case promisesNotRun(a.Status):
+	case impliesNotRun(a.Status):
 		return verdict.NewError(verdict.MayHaveRun, verdict.CodeEngine, "status %d of the endpoint", a.Status)
 	}
 	return nil
 }
 
-// SpeaksForEndpoint returns whether what an answer says of its endpoint is of the one that was
-// asked. A 421 is of another endpoint, and an answer that is due to another request may be.
-func SpeaksForEndpoint(a AnswerHead) bool {
+// IsFromEndpoint returns whether the advisory headers of a response describe the endpoint that
+// the request was sent to. A 421 comes from another endpoint, and a response to another
+// request may.
+func IsFromEndpoint(a ResponseHead) bool {
 	return a.Status != http.StatusMisdirectedRequest && !a.OtherRequest
 }
 
-// promisesNotRun returns whether status tells a caller that its request was not
-// run, which an endpoint has to say in a header of its own.
-func promisesNotRun(status int) bool {
+// impliesNotRun returns whether callers read a status as "the request was not run". An
+// endpoint must state that in a separate header; the status alone does not prove it.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -52,8 +53,8 @@
 	return false
 }
 
-// Status returns the HTTP status by which a caller is told of a failure. That a
-// request was not run is promised only with a verdict that says so.
+// Status returns the HTTP status that a caller receives for a failure. A status that implies
+// that the request was not run requires the verdict NotRun.
 func Status(e *verdict.Error) int {
 	switch e.Code {
 	case verdict.CodeNotFound:
--- a/gateway/policy/late.go
+++ b/gateway/policy/late.go
@@ -2,30 +2,33 @@
 
 import "time"
 
-// Callers who come back after a refusal, once they can't be served in time any more.
+// Limits for late callers: those that retry after a refusal when their latency target can no
+// longer be met.
 const (
-	// spareLoad is the load below which an endpoint takes late callers while others are
-	// refused who could be served in time: what they leave unused at their limits.
-	spareLoad = 0.85
-	// fullTime is for how long a service counts as full after a caller was refused who
-	// could have been served in time. While it is overloaded that happens all the time;
-	// once it is not, late callers are let in at once. 2 s refused late callers after
-	// shortages for whom there was room.
-	fullTime = 500 * time.Millisecond
+	// lateMaxLoad is the load up to which an endpoint accepts late callers while callers that
+	// are still on time are being refused. It is capacity that those leave unused below their
+	// own limits.
+	lateMaxLoad = 0.85
+	// overloadWindow is how long a service counts as overloaded after it refused a caller that
+	// was still on time. Such refusals are continuous during an overload, so late callers can
+	// be accepted as soon as they stop. With 2 s, late callers were refused after shortages
+	// although there was capacity for them.
+	overloadWindow = 500 * time.Millisecond
 )
 
-// Late returns whether a caller who has waited for spent since its first try can't be
-// served within target any more.
+// Late returns whether a caller can no longer be served within its latency target, given the
+// time since its first attempt.
 func Late(spent, target time.Duration) bool {
 	return spent >= target
 }
 
-// LateMaxLoad returns the load at which an endpoint is full for a late caller, where it
-// is limit for others, of whom one was last refused so long ago. The places that late
-// callers take would be missed by those who can still be served in time.
+// LateMaxLoad returns the load at which an endpoint is full for a late caller. limit is the
+// load for callers that are on time, refusedAgo the time since one of those was last refused.
+// During an overload late callers would take capacity from those that can still meet their
+// target.
 func LateMaxLoad(limit float64, refusedAgo time.Duration) float64 {
-	if refusedAgo > fullTime {
+	if refusedAgo > overloadWindow {
 		return limit
 	}
-	return min(limit, spareLoad)
+	return min(limit, lateMaxLoad)
 }
--- a/gateway/policy/leaving.go
+++ b/gateway/policy/leaving.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// EndsInTime returns whether a request with a deadline is taken by a gateway that was told to
-// stop and ends its requests at end. One that might be cut then, after seconds of waiting,
-// is better sent to another gateway at once: 26 streams of one soak with streams of 5 s were
-// cut 7.7 s after the signal.
-func EndsInTime(deadline, end time.Time) bool {
+// AcceptsDuringShutdown returns whether a gateway that is shutting down, and aborts its
+// requests at end, accepts a request with the given deadline. A request that might be aborted
+// after waiting for seconds is better sent to another gateway at once: in a soak test with
+// 5 s streams, 26 streams were cut off 7.7 s after the signal.
+func AcceptsDuringShutdown(deadline, end time.Time) bool {
 	return !deadline.After(end)
 }
--- a/gateway/policy/load.go
+++ b/gateway/policy/load.go
@@ -7,30 +7,31 @@
 	"github.com/silverdeck/silverdeck/routes"
 )
 
-// How busy an endpoint may be for one more stream, in requests for each slot.
+// Load limits for one more stream at an endpoint, in requests per slot.
 const (
-	// defaultMaxLoad is the limit where nothing is known of the engine, and the highest in
-	// any case: a quarter of a batch may wait.
+	// defaultMaxLoad is the upper bound, and the limit for engines without known figures: up to
+	// a quarter of a batch may be queued.
 	defaultMaxLoad = 1.25
-	// aimShare is the part of its latency target in which an answer should begin by the
-	// engine's figures; the rest is for the network and for what the figures leave out.
-	aimShare = 0.6
+	// targetFraction is the fraction of its latency target within which a response should begin
+	// according to the engine's figures. The rest covers the network and what the figures do
+	// not model.
+	targetFraction = 0.6
 )
 
-// MaxLoad returns the load, in requests for each slot, at which an endpoint is full
-// for a new stream with a prompt of so many tokens. Where its first event would
-// come too late, the caller is better refused at once. target is the longest
-// latency target of the service's streams, so that all of them are let in up to
-// the same load. A nil engine is one of which nothing is known.
+// MaxLoad returns the load, in requests per slot, at which an endpoint is full for a new stream
+// with a prompt of promptTokens. Above it the first event would come too late, and the caller
+// is better refused at once. target is the longest latency target among the service's
+// streams, so that the same limit applies to all of them. engine is nil if its figures are not
+// known.
 func MaxLoad(engine *routes.Engine, target time.Duration, promptTokens int) float64 {
 	if engine == nil || engine.Slots <= 0 {
 		return defaultMaxLoad
 	}
-	within := time.Duration(aimShare * float64(target))
+	within := time.Duration(targetFraction * float64(target))
 	queue := math.Floor(engine.QueueWithin(within, promptTokens))
 	return min(1+queue/float64(engine.Slots), defaultMaxLoad)
 }
 
-// idleLoad is the load below which another endpoint is worth asking beside a slow one: the
-// request begins there without waiting for a slot.
-const idleLoad = 0.8
+// hedgeMaxLoad is the load below which another endpoint is worth a hedge for a slow stream: the
+// request starts there without queueing for a slot.
+const hedgeMaxLoad = 0.8
--- a/gateway/policy/policy.go
+++ b/gateway/policy/policy.go
@@ -1,8 +1,8 @@
-// Package policy holds the rules by which a gateway decides about one request:
-// whether its endpoint may be as busy as it is, how it ranks there, how long it is
-// waited for, whether it is sent again, and what the caller is told.
+// Package policy contains the per-request decisions of a gateway: how much load an endpoint
+// may carry, the request's priority there, how long the gateway waits for a response, whether
+// it retries, and which status and Retry-After the caller receives.
 //
-// Each rule is a function of plain values: no clock, no lock, no I/O. The proxy gathers the
-// inputs, calls the rule and carries out the result. docs/DECISIONS.md lists all rules with
-// their inputs and log lines.
+// Each rule is a pure function of plain values, without clock, locks or I/O. Package proxy
+// collects the inputs, calls the rule and applies the result. docs/DECISIONS.md lists all
+// rules with their inputs and log lines.
 package policy
--- a/gateway/policy/policy_test.go
+++ b/gateway/policy/policy_test.go
@@ -14,56 +14,56 @@
 const ms = time.Millisecond
 
 var _ = DescribeTable("a failed attempt",
-	func(f policy.Failure, want policy.Retry) {
+	func(f policy.Failure, want policy.RetryDecision) {
 		Expect(policy.DecideRetry(f)).To(Equal(want))
 	},
-	Entry("that ran nowhere goes elsewhere within the budget",
+	Entry("that did not run is retried within the budget",
 		policy.Failure{Code: verdict.CodeOverloaded, Verdict: verdict.NotRun, Left: time.Second}, policy.BudgetedRetry),
-	Entry("that reached nothing costs no budget",
-		policy.Failure{Code: verdict.CodeUnreachable, Verdict: verdict.NotRun, Left: time.Second}, policy.FreeRetry),
-	Entry("that may have run ends an unsafe request",
+	Entry("that reached no endpoint is not charged to the budget",
+		policy.Failure{Code: verdict.CodeUnreachable, Verdict: verdict.NotRun, Left: time.Second}, policy.UnbudgetedRetry),
+	Entry("that may have run fails a non-repeatable request",
 		policy.Failure{Code: verdict.CodeCut, Verdict: verdict.MayHaveRun, Left: time.Second}, policy.NotRepeatable),
-	Entry("that ran ends an unsafe request",
+	Entry("that ran fails a non-repeatable request",
 		policy.Failure{Code: verdict.CodeCut, Verdict: verdict.Ran, Left: time.Second}, policy.NotRepeatable),
-	Entry("that may have run is repeated where the route allows it",
+	Entry("that may have run is retried if the route allows it",
 		policy.Failure{Code: verdict.CodeCut, Verdict: verdict.MayHaveRun, Repeatable: true, Left: time.Second}, policy.BudgetedRetry),
-	Entry("for want of capacity is the last",
+	Entry("for lack of capacity is not retried",
 		policy.Failure{Code: policy.CodeFull, Verdict: verdict.NotRun, Repeatable: true, Left: time.Second}, policy.AllFull),
-	Entry("of a caller that is gone is the last",
+	Entry("of a caller that is gone is not retried",
 		policy.Failure{Code: verdict.CodeUnreachable, Verdict: verdict.NotRun, Canceled: true, Left: time.Second}, policy.NoTime),
-	Entry("with just enough time left goes elsewhere",
-		policy.Failure{Code: verdict.CodeUnreachable, Verdict: verdict.NotRun, Left: 20 * ms}, policy.FreeRetry),
-	Entry("with less time left is the last",
+	Entry("with just enough time left is retried",
+		policy.Failure{Code: verdict.CodeUnreachable, Verdict: verdict.NotRun, Left: 20 * ms}, policy.UnbudgetedRetry),
+	Entry("with less time left is not retried",
 		policy.Failure{Code: verdict.CodeUnreachable, Verdict: verdict.NotRun, Left: 20*ms - 1}, policy.NoTime),
 )
 
-var _ = DescribeTable("an answer that has begun goes on where it was before",
+var _ = DescribeTable("a stream that has begun resumes at an endpoint that had it before",
 	func(attempts int, last verdict.Code, want bool) {
-		Expect(policy.Returns(attempts, 2, last)).To(Equal(want))
+		Expect(policy.MayReuseEndpoint(attempts, 2, last)).To(Equal(want))
 	},
 	Entry("after the route's attempts", 2, verdict.CodeCut, true),
-	Entry("up to twice as many", 3, verdict.CodeOverloaded, true),
-	Entry("and no more", 4, verdict.CodeCut, false),
-	Entry("not where no such endpoint may have it", 3, verdict.CodeNoEndpoint, false),
+	Entry("up to twice the route's attempts", 3, verdict.CodeOverloaded, true),
+	Entry("no further", 4, verdict.CodeCut, false),
+	Entry("not if no such endpoint is available", 3, verdict.CodeNoEndpoint, false),
 )
 
-var _ = DescribeTable("an error answer is replaced by another attempt",
-	func(a policy.ErrorAnswer, want bool) {
-		Expect(policy.ReplaceErrorAnswer(a)).To(Equal(want))
+var _ = DescribeTable("an error response is retried",
+	func(a policy.ErrorResponse, want bool) {
+		Expect(policy.RetriesErrorResponse(a)).To(Equal(want))
 	},
-	Entry("where the route allows it", policy.ErrorAnswer{Repeatable: true, Attempts: 1, MaxAttempts: 2, Left: time.Second}, true),
-	Entry("not for an unsafe request", policy.ErrorAnswer{Attempts: 1, MaxAttempts: 2, Left: time.Second}, false),
-	Entry("not after the last attempt", policy.ErrorAnswer{Repeatable: true, Attempts: 2, MaxAttempts: 2, Left: time.Second}, false),
-	Entry("not with too little time", policy.ErrorAnswer{Repeatable: true, Attempts: 1, MaxAttempts: 2, Left: 20 * ms}, false),
+	Entry("if the route allows it", policy.ErrorResponse{Repeatable: true, Attempts: 1, MaxAttempts: 2, Left: time.Second}, true),
+	Entry("not for a non-repeatable request", policy.ErrorResponse{Attempts: 1, MaxAttempts: 2, Left: time.Second}, false),
+	Entry("not after the last attempt", policy.ErrorResponse{Repeatable: true, Attempts: 2, MaxAttempts: 2, Left: time.Second}, false),
+	Entry("not with too little time left", policy.ErrorResponse{Repeatable: true, Attempts: 1, MaxAttempts: 2, Left: 20 * ms}, false),
 )
 
-var _ = DescribeTable("a caller that found no capacity comes back",
+var _ = DescribeTable("Retry-After of a caller that found no capacity",
 	func(draw float64, want time.Duration) {
-		Expect(policy.ShortageRetry(draw)).To(BeNumerically("~", want, time.Microsecond))
+		Expect(policy.RetryAfterShortage(draw)).To(BeNumerically("~", want, time.Microsecond))
 	},
-	Entry("after a fifth of two seconds at the earliest", 0.0, 400*ms),
-	Entry("between", 0.5, 1200*ms),
-	Entry("after two seconds at the latest", 0.999999999, 2*time.Second),
+	Entry("is at least a fifth of two seconds", 0.0, 400*ms),
+	Entry("is uniformly distributed in between", 0.5, 1200*ms),
+	Entry("is at most two seconds", 0.999999999, 2*time.Second),
 )
 
 var _ = DescribeTable("a caller is late",
@@ -78,50 +78,50 @@
 	func(limit float64, ago time.Duration, want float64) {
 		Expect(policy.LateMaxLoad(limit, ago)).To(Equal(want))
 	},
-	Entry("is lower while others are refused", 1.06, time.Duration(0), 0.85),
-	Entry("until none was for a while", 1.06, 500*ms, 0.85),
-	Entry("and that of others afterwards", 1.06, 500*ms+1, 1.06),
-	Entry("is never higher than that of others", 0.5, time.Duration(0), 0.5),
+	Entry("is lower while callers on time are refused", 1.06, time.Duration(0), 0.85),
+	Entry("stays lower for the overload window", 1.06, 500*ms, 0.85),
+	Entry("is the general limit afterwards", 1.06, 500*ms+1, 1.06),
+	Entry("never exceeds the general limit", 0.5, time.Duration(0), 0.5),
 )
 
-var _ = DescribeTable("a caller is told to come back",
+var _ = DescribeTable("Retry-After",
 	func(wanted, left, want time.Duration) {
 		Expect(policy.RetryAfter(wanted, left)).To(Equal(want))
 	},
-	Entry("as wanted", time.Second, 6*time.Second, time.Second),
-	Entry("soon where nothing is wanted", time.Duration(0), 6*time.Second, 300*ms),
-	Entry("after a third of its time at the latest", 2*time.Second, 3*time.Second, time.Second),
-	Entry("not sooner than soon, however little time it has", 2*time.Second, 100*ms, 300*ms),
+	Entry("is the wanted value", time.Second, 6*time.Second, time.Second),
+	Entry("is the default if none is wanted", time.Duration(0), 6*time.Second, 300*ms),
+	Entry("is at most a third of the time left", 2*time.Second, 3*time.Second, time.Second),
+	Entry("is at least the default, however little time is left", 2*time.Second, 100*ms, 300*ms),
 )
 
 var _ = DescribeTable("an endpoint is full for a stream",
 	func(engine *routes.Engine, target time.Duration, prompt int, want float64) {
 		Expect(policy.MaxLoad(engine, target, prompt)).To(BeNumerically("~", want, 1e-9))
 	},
-	Entry("a quarter over its batch where the engine is not known", nil, 400*ms, 0, 1.25),
-	Entry("likewise where its slots are not known", &routes.Engine{}, 400*ms, 0, 1.25),
-	Entry("at its batch where one that waits would begin too late",
+	Entry("a quarter above its batch if the engine is not known", nil, 400*ms, 0, 1.25),
+	Entry("a quarter above its batch if its slots are not known", &routes.Engine{}, 400*ms, 0, 1.25),
+	Entry("at its batch if a queued request would begin too late",
 		&routes.Engine{Slots: 12, Step: 10 * ms, Stride: 1, UsualAnswer: 12 * 50}, 400*ms, 0, 1.0),
-	Entry("at what fits into 0.6 of the target, whole requests only",
+	Entry("at what fits into 0.6 of the target, rounded down to whole requests",
 		&routes.Engine{Slots: 12, Step: 10 * ms, Stride: 1, UsualAnswer: 12 * 10}, 400*ms, 0, 1+2.0/12),
-	Entry("never above a quarter over its batch",
+	Entry("never more than a quarter above its batch",
 		&routes.Engine{Slots: 12, Step: ms, Stride: 1, UsualAnswer: 12}, 400*ms, 0, 1.25),
 )
 
 var _ = DescribeTable("the priority at endpoints",
-	func(u policy.Urgency, want int) {
+	func(u policy.PriorityInputs, want int) {
 		Expect(policy.Priority(u)).To(Equal(want))
 	},
-	Entry("of the first rank", policy.Urgency{}, 0),
-	Entry("of a rank below none", policy.Urgency{Rank: -3}, 0),
-	Entry("of a longer target comes after a shorter one", policy.Urgency{Rank: 1, LongestTarget: true}, 3),
-	Entry("of a shorter target", policy.Urgency{Rank: 1}, 2),
-	Entry("of the rest of an answer goes before its rank", policy.Urgency{Rank: 1, Resumed: true, LongestTarget: true}, 1),
-	Entry("of the rest of an answer of the first rank", policy.Urgency{Resumed: true}, 0),
-	Entry("is at most what endpoints know", policy.Urgency{Rank: 7, LongestTarget: true}, 9),
+	Entry("of the first rank", policy.PriorityInputs{}, 0),
+	Entry("of a negative rank", policy.PriorityInputs{Rank: -3}, 0),
+	Entry("of a longer target is lower than of a shorter one", policy.PriorityInputs{Rank: 1, LongestTarget: true}, 3),
+	Entry("of a shorter target", policy.PriorityInputs{Rank: 1}, 2),
+	Entry("of a resumed stream precedes its rank", policy.PriorityInputs{Rank: 1, Resumed: true, LongestTarget: true}, 1),
+	Entry("of a resumed stream of the first rank", policy.PriorityInputs{Resumed: true}, 0),
+	Entry("is at most the lowest of the endpoints' protocol", policy.PriorityInputs{Rank: 7, LongestTarget: true}, 9),
 )
 
-// stall is a stream whose endpoint and answer are both within their limits.
+// stall returns a Stall with both idle times exactly at their limits, modified by change.
 func stall(change func(*policy.Stall)) policy.Stall {
 	s := policy.Stall{EndpointIdle: 400 * ms, EndpointIdleLimit: 400 * ms, StreamIdle: 900 * ms, StreamIdleLimit: 900 * ms}
 	change(&s)
@@ -129,27 +129,27 @@
 }
 
 var _ = DescribeTable("a stream that waits",
-	func(change func(*policy.Stall), want policy.Wait) {
+	func(change func(*policy.Stall), want policy.WaitDecision) {
 		Expect(policy.WaitForStream(stall(change))).To(Equal(want))
 	},
-	Entry("goes on up to its limits", func(*policy.Stall) {}, policy.KeepWaiting{}),
-	Entry("leaves an idle endpoint for any other",
+	Entry("keeps waiting up to its limits", func(*policy.Stall) {}, policy.KeepWaiting{}),
+	Entry("is hedged to any endpoint if its own is idle",
 		func(s *policy.Stall) { s.EndpointIdle++ }, policy.Hedge{}),
-	Entry("leaves an endpoint that lost its answer for an idle one",
+	Entry("is hedged to an endpoint with a free slot if its response is lost",
 		func(s *policy.Stall) { s.StreamIdle++ }, policy.Hedge{MaxLoad: 0.8}),
-	Entry("stays at its last endpoint", func(s *policy.Stall) { s.LastAttempt, s.EndpointIdle = true, time.Hour }, policy.KeepWaiting{}),
-	Entry("leaves outdated weights before it began, also as the last",
-		func(s *policy.Stall) { s.LastAttempt, s.Outdated = true, true }, policy.Leave{}),
-	Entry("stays at outdated weights once it began", func(s *policy.Stall) { s.Begun, s.Outdated = true, true }, policy.KeepWaiting{}),
+	Entry("keeps waiting on its last attempt", func(s *policy.Stall) { s.LastAttempt, s.EndpointIdle = true, time.Hour }, policy.KeepWaiting{}),
+	Entry("abandons outdated weights before it began, even on its last attempt",
+		func(s *policy.Stall) { s.LastAttempt, s.Outdated = true, true }, policy.Abandon{}),
+	Entry("keeps waiting at outdated weights once it began", func(s *policy.Stall) { s.Begun, s.Outdated = true, true }, policy.KeepWaiting{}),
 )
 
 var _ = DescribeTable("a plain request that waits",
-	func(waited time.Duration, last bool, want policy.Wait) {
+	func(waited time.Duration, last bool, want policy.WaitDecision) {
 		Expect(policy.WaitForPlain(waited, 100*ms, last)).To(Equal(want))
 	},
-	Entry("goes on for twice its target", 200*ms, false, policy.KeepWaiting{}),
-	Entry("asks another endpoint as well after that", 200*ms+1, false, policy.Hedge{}),
-	Entry("stays at its last endpoint", time.Hour, true, policy.KeepWaiting{}),
+	Entry("keeps waiting for twice its target", 200*ms, false, policy.KeepWaiting{}),
+	Entry("is hedged after that", 200*ms+1, false, policy.Hedge{}),
+	Entry("keeps waiting on its last attempt", time.Hour, true, policy.KeepWaiting{}),
 )
 
 var _ = DescribeTable("idle limits",
@@ -157,14 +157,14 @@
 		Expect(limit(target)).To(Equal(want))
 	},
 	Entry("of an endpoint: twice the target", policy.EndpointIdleLimit, 300*ms, 600*ms),
-	Entry("of an endpoint: the least", policy.EndpointIdleLimit, 100*ms, 400*ms),
+	Entry("of an endpoint: the minimum", policy.EndpointIdleLimit, 100*ms, 400*ms),
 	Entry("of a stream: three times the target", policy.StreamIdleLimit, 400*ms, 1200*ms),
-	Entry("of a stream: the least", policy.StreamIdleLimit, 100*ms, 900*ms),
+	Entry("of a stream: the minimum", policy.StreamIdleLimit, 100*ms, 900*ms),
 )
 
-var _ = DescribeTable("the head of an answer",
-	func(a policy.AnswerHead, wantVerdict verdict.Verdict, wantCode verdict.Code) {
-		e := policy.JudgeAnswer(a)
+var _ = DescribeTable("the head of a response",
+	func(a policy.ResponseHead, wantVerdict verdict.Verdict, wantCode verdict.Code) {
+		e := policy.CheckResponse(a)
 		if wantCode == "" {
 			Expect(e).To(BeNil())
 			return
@@ -172,18 +172,18 @@
 		Expect(e.Verdict).To(Equal(wantVerdict))
 		Expect(e.Code).To(Equal(wantCode))
 	},
-	Entry("is passed on", policy.AnswerHead{Status: 200, Signed: true}, verdict.Ran, verdict.Code("")),
-	Entry("of another endpoint", policy.AnswerHead{Status: 421, Signed: true}, verdict.NotRun, policy.CodeMisdirected),
-	Entry("that refuses", policy.AnswerHead{Status: 503, NotRun: true}, verdict.NotRun, verdict.CodeOverloaded),
-	Entry("to another request", policy.AnswerHead{Status: 200, Signed: true, OtherRequest: true}, verdict.MayHaveRun, verdict.CodeCrossed),
-	Entry("without a signature", policy.AnswerHead{Status: 200}, verdict.MayHaveRun, verdict.CodeCut),
-	Entry("that is an error needs no signature", policy.AnswerHead{Status: 500}, verdict.Ran, verdict.Code("")),
-	Entry("with a status that would promise too much", policy.AnswerHead{Status: 429}, verdict.MayHaveRun, verdict.CodeEngine),
-	Entry("with a time-out's status", policy.AnswerHead{Status: 408}, verdict.MayHaveRun, verdict.CodeEngine),
-	Entry("with an unavailable server's status", policy.AnswerHead{Status: 503}, verdict.MayHaveRun, verdict.CodeEngine),
-)
-
-var _ = DescribeTable("the status that a caller is told",
+	Entry("is forwarded", policy.ResponseHead{Status: 200, Signed: true}, verdict.Ran, verdict.Code("")),
+	Entry("from another endpoint", policy.ResponseHead{Status: 421, Signed: true}, verdict.NotRun, policy.CodeMisdirected),
+	Entry("that refuses the request", policy.ResponseHead{Status: 503, NotRun: true}, verdict.NotRun, verdict.CodeOverloaded),
+	Entry("to another request", policy.ResponseHead{Status: 200, Signed: true, OtherRequest: true}, verdict.MayHaveRun, verdict.CodeCrossed),
+	Entry("without a signature", policy.ResponseHead{Status: 200}, verdict.MayHaveRun, verdict.CodeCut),
+	Entry("that is an error needs no signature", policy.ResponseHead{Status: 500}, verdict.Ran, verdict.Code("")),
+	Entry("with a status that implies that the request was not run", policy.ResponseHead{Status: 429}, verdict.MayHaveRun, verdict.CodeEngine),
+	Entry("with the status of a timeout", policy.ResponseHead{Status: 408}, verdict.MayHaveRun, verdict.CodeEngine),
+	Entry("with the status of an unavailable server", policy.ResponseHead{Status: 503}, verdict.MayHaveRun, verdict.CodeEngine),
+)
+
+var _ = DescribeTable("the status that a caller receives",
 	func(v verdict.Verdict, code verdict.Code, want int) {
 		Expect(policy.Status(verdict.NewError(v, code, "x"))).To(Equal(want))
 	},
@@ -198,10 +198,10 @@
 	Entry("ran", verdict.Ran, verdict.CodeCut, 502),
 )
 
-var _ = DescribeTable("how recently an endpoint must have sent something to be asked in the place of an idle one",
+var _ = DescribeTable("idle limit of the target of a hedge",
 	func(gapTarget, want time.Duration) {
-		Expect(policy.AnsweringLimit(gapTarget)).To(Equal(want))
+		Expect(policy.HedgeTargetIdleLimit(gapTarget)).To(Equal(want))
 	},
 	Entry("no target", time.Duration(0), 200*time.Millisecond),
-	Entry("a usual target", 300*time.Millisecond, 300*time.Millisecond),
+	Entry("a typical target", 300*time.Millisecond, 300*time.Millisecond),
 )
--- a/gateway/policy/retry.go
+++ b/gateway/policy/retry.go
@@ -8,78 +8,77 @@
 
 // Codes of failures that the gateway itself decides on.
 const (
-	// CodeFull means that all endpoints of the service are at their limit.
+	// CodeFull means that all endpoints of the service are at their load limit.
 	CodeFull verdict.Code = "full"
-	// CodeClosed means that all endpoints of the service take no more requests for a while, by
-	// what they say in their answers.
+	// CodeClosed means that all endpoints of the service have announced, in response headers,
+	// that they accept no more requests for a while.
 	CodeClosed verdict.Code = "closed"
-	// CodeMisdirected means that an address belongs to another endpoint now.
+	// CodeMisdirected means that the address now belongs to another endpoint.
 	CodeMisdirected verdict.Code = "misdirected"
-	// CodeQuarantined means that endpoints ended under the request, or under another copy of
-	// it, so that it is sent to none any more.
+	// CodeQuarantined means that endpoints crashed while processing the request or another
+	// copy of it, and that it is no longer sent to any endpoint.
 	CodeQuarantined verdict.Code = "quarantined"
-	// CodeOnTrial means that endpoints ended under another copy of the request, and that one
-	// more copy is being tried: all others wait for what comes of that.
+	// CodeOnTrial means that endpoints crashed while processing another copy of the request.
+	// One further copy is being tried; all others are withheld until its result is known.
 	CodeOnTrial verdict.Code = "on_trial"
-	// CodeTooLarge means that a body is over the configuration's limit.
+	// CodeTooLarge means that the body exceeds the configured limit.
 	CodeTooLarge verdict.Code = "too_large"
 )
 
-// minRetryTime is what must be left of a request's time for another attempt: a round trip
-// between regions and a short answer.
+// minRetryTime is the time to the deadline that another attempt requires: a round trip between
+// regions and a short response.
 const minRetryTime = 20 * time.Millisecond
 
-// Retry says whether a request goes to another endpoint after a failed attempt.
-type Retry int
+// RetryDecision says whether a request is sent to another endpoint after a failed attempt.
+type RetryDecision int
 
-// The decisions about a retry.
+// The possible decisions.
 const (
-	// FreeRetry sends it again without taking from the retry budget.
-	FreeRetry Retry = iota
-	// BudgetedRetry sends it again if the retry budget allows it.
+	// UnbudgetedRetry retries without charging the retry budget.
+	UnbudgetedRetry RetryDecision = iota
+	// BudgetedRetry retries if the retry budget allows it.
 	BudgetedRetry
-	// NoTime ends the request with its last failure, since its time is over or its caller
-	// gone.
+	// NoTime fails the request because its deadline is too close or its caller is gone.
 	NoTime
-	// AllFull does so since the other endpoints are full as well.
+	// AllFull fails the request because the other endpoints are full as well.
 	AllFull
-	// NotRepeatable does so since it may have run and must not run twice.
+	// NotRepeatable fails the request because it may have run and must not run twice.
 	NotRepeatable
-	// Withheld does so since endpoints ended under it.
+	// Withheld fails the request because endpoints crashed while processing it.
 	Withheld
 )
 
 // retryNames are the names in log lines.
-var retryNames = map[Retry]string{
-	FreeRetry: "free", BudgetedRetry: "budget", NoTime: "no time", AllFull: "all full", NotRepeatable: "not repeatable",
+var retryNames = map[RetryDecision]string{
+	UnbudgetedRetry: "free", BudgetedRetry: "budget", NoTime: "no time", AllFull: "all full", NotRepeatable: "not repeatable",
 	Withheld: "withheld",
 }
 
-// String returns the decision's name.
-func (r Retry) String() string {
+// String returns the name of the decision in log lines.
+func (r RetryDecision) String() string {
 	return retryNames[r]
 }
 
-// Failure is what is known after a failed attempt.
+// Failure describes the state of a request after a failed attempt.
 type Failure struct {
-	// Code and Verdict tell of the last attempt.
+	// Code and Verdict are those of the last attempt.
 	Code    verdict.Code
 	Verdict verdict.Verdict
 	// Repeatable is set when the route allows a request to run more than once.
 	Repeatable bool
-	// Canceled is set when the caller is gone or the request's time is over.
+	// Canceled is set when the caller is gone or the deadline has passed.
 	Canceled bool
 	// Left is the time until the request's deadline.
 	Left time.Duration
 }
 
-// DecideRetry returns whether a request is sent to another endpoint. A request
-// that may have run is repeated only where its route allows it. One that reached
-// nothing costs no endpoint any work, so it is free; any other repetition counts
-// toward the budget, also one that an endpoint refused.
-func DecideRetry(f Failure) Retry {
+// DecideRetry returns whether a request is sent to another endpoint. A request that may have
+// run is retried only if its route allows that. An attempt that reached no endpoint costs none
+// of them any work and is not charged to the retry budget; any other is, including one that an
+// endpoint refused.
+func DecideRetry(f Failure) RetryDecision {
 	switch {
-	case Withholds(f.Code):
+	case IsWithheld(f.Code):
 		return Withheld
 	case f.Canceled || f.Left < minRetryTime:
 		return NoTime
@@ -88,64 +87,64 @@
 	case f.Verdict != verdict.NotRun && !f.Repeatable:
 		return NotRepeatable
 	case f.Code == verdict.CodeUnreachable:
-		return FreeRetry
+		return UnbudgetedRetry
 	}
 	return BudgetedRetry
 }
 
-// When an answer that has begun goes on at an endpoint that had it before.
+// Limits for resuming a stream at an endpoint that had it before.
 const (
-	// ReturnPause is how long it waits before that after a refusal: an endpoint that loads
-	// weights takes requests again a moment later, and an event that comes 0.2 s late is
-	// still in time.
-	ReturnPause = 200 * time.Millisecond
-	// returnFactor is how many times the route's attempts there may be with these: twice to
-	// each endpoint. Without any return 4 of 373 requests of a soak were cut for want of
-	// attempts; more than one to each was not tried.
-	returnFactor = 2
+	// ReuseDelay is the delay before that if the last endpoint refused the request. An endpoint
+	// that is loading weights accepts requests again a moment later, and an event that is 0.2 s
+	// late still meets its target.
+	ReuseDelay = 200 * time.Millisecond
+	// reuseFactor bounds the number of attempts including these, as a multiple of the route's
+	// limit: two for each endpoint. Without reuse, 4 of 373 requests in a soak test were cut off
+	// because their attempts were used up; a larger factor was not tried.
+	reuseFactor = 2
 )
 
 const (
-	// PauseWait is after how long an answer that has begun looks again for an endpoint that
-	// takes requests, where the only ones are about to load weights: such a load would cut
-	// it once more.
-	PauseWait = 100 * time.Millisecond
-	// maxPauseWait is for how long it does: a load takes less than that, and callers give
-	// streams up after two seconds.
-	maxPauseWait = time.Second
+	// LoadPollInterval is the interval at which a stream that has begun looks for an endpoint
+	// to resume at while the only ones available are about to load weights, which would
+	// interrupt it again.
+	LoadPollInterval = 100 * time.Millisecond
+	// maxLoadWait bounds that wait. Loading takes less, and callers abandon a stream after two
+	// seconds.
+	maxLoadWait = time.Second
 )
 
-// AwaitsLoad returns whether an answer that has begun goes on waiting, after so long, for an
-// endpoint that loads weights or is about to.
-func AwaitsLoad(begun, loading bool, waited time.Duration) bool {
-	return begun && loading && waited < maxPauseWait
+// WaitsForLoad returns whether a stream that has begun keeps waiting, after the given time, for
+// an endpoint that is loading weights or about to.
+func WaitsForLoad(begun, loading bool, waited time.Duration) bool {
+	return begun && loading && waited < maxLoadWait
 }
 
-// OpensSoon returns whether an answer that has begun waits for an endpoint that takes requests
-// again after d, by its own word; 0 means that there is none.
-func OpensSoon(d time.Duration) bool {
-	return d > 0 && d <= maxPauseWait
+// ReopensSoon returns whether a stream that has begun waits for an endpoint that has announced
+// to accept requests again after d. A d of 0 means that there is none.
+func ReopensSoon(d time.Duration) bool {
+	return d > 0 && d <= maxLoadWait
 }
 
-// Returns returns whether an answer that has begun may go on, after so many attempts, at an
-// endpoint that had it before. maxAttempts is the route's limit of endpoints, last why the
-// last attempt failed.
-func Returns(attempts, maxAttempts int, last verdict.Code) bool {
-	return attempts < returnFactor*maxAttempts && last != verdict.CodeNoEndpoint
+// MayReuseEndpoint returns whether a stream that has begun may, after the given number of
+// attempts, resume at an endpoint that had it before. maxAttempts is the route's limit of
+// endpoints, last the failure of the last attempt.
+func MayReuseEndpoint(attempts, maxAttempts int, last verdict.Code) bool {
+	return attempts < reuseFactor*maxAttempts && last != verdict.CodeNoEndpoint
 }
 
-// ErrorAnswer is an endpoint's complete answer with a status of 500 or above.
-type ErrorAnswer struct {
+// ErrorResponse describes an endpoint's complete response with a status of 500 or above.
+type ErrorResponse struct {
 	// Repeatable is set when the route allows a request to run more than once.
 	Repeatable bool
-	// Attempts were made so far, MaxAttempts are allowed.
+	// Attempts is the number of attempts so far, MaxAttempts the route's limit.
 	Attempts, MaxAttempts int
 	// Left is the time until the request's deadline.
 	Left time.Duration
 }
 
-// ReplaceErrorAnswer returns whether another attempt may take the place of an
-// error answer, which else is passed on as it is.
-func ReplaceErrorAnswer(a ErrorAnswer) bool {
+// RetriesErrorResponse returns whether the request is retried. Otherwise the error response is
+// forwarded unchanged.
+func RetriesErrorResponse(a ErrorResponse) bool {
 	return a.Repeatable && a.Attempts < a.MaxAttempts && a.Left > minRetryTime
 }
--- a/gateway/policy/stall.go
+++ b/gateway/policy/stall.go
@@ -2,116 +2,115 @@
 
 import "time"
 
-// When another endpoint is asked for a request whose endpoint does not answer. Targets are those of
-// the request's route.
+// Limits after which a request is hedged. Latency and gap targets are those of its route.
 const (
-	// gapFactor is how many times the target between events an endpoint may send nothing on
+	// endpointIdleFactor is the number of gap targets for which an endpoint may send nothing on
 	// any of this gateway's streams.
-	gapFactor = 2
-	// minEndpointIdle is the least such time, twice the interval of the heartbeats by which
-	// a gateway knows that its own link is well.
+	endpointIdleFactor = 2
+	// minEndpointIdle is the minimum of that limit: twice the interval of the heartbeats by
+	// which a gateway detects that its own network link works.
 	minEndpointIdle = 400 * time.Millisecond
-	// lostFactor is how many times its latency target, or the target between events, one
-	// stream may get nothing while its endpoint sends on others: then its answer is lost.
-	lostFactor = 3
-	// minStreamIdle is the least such time.
+	// streamIdleFactor is the number of latency targets, or of gap targets once the response
+	// has begun, for which a stream may receive nothing while its endpoint sends on others.
+	// After that its response counts as lost.
+	streamIdleFactor = 3
+	// minStreamIdle is the minimum of that limit.
 	minStreamIdle = 900 * time.Millisecond
-	// plainFactor is how many times its latency target a plain request may take that may
-	// run twice.
-	plainFactor = 2
+	// plainWaitFactor is the number of latency targets that a repeatable plain request may
+	// take.
+	plainWaitFactor = 2
 )
 
-// EndpointIdleLimit returns for how long an endpoint may send nothing on any
-// stream, where gapTarget is the target between two events.
+// EndpointIdleLimit returns how long an endpoint may send nothing on any stream. gapTarget is
+// the target time between two events.
 func EndpointIdleLimit(gapTarget time.Duration) time.Duration {
-	return max(gapFactor*gapTarget, minEndpointIdle)
+	return max(endpointIdleFactor*gapTarget, minEndpointIdle)
 }
 
-// answeringShare is the part of EndpointIdleLimit within which an endpoint must have sent
-// something to be asked in the place of another: where all stand still, each reaches that
-// limit a moment before or after the others.
-const answeringShare = 0.5
+// activeFraction is the fraction of EndpointIdleLimit within which an endpoint must have sent
+// something to be the target of a hedge. When all endpoints stall, each reaches the limit a
+// moment before or after the others, and a hedge would go to one that is stalled as well.
+const activeFraction = 0.5
 
-// AnsweringLimit returns for how long an endpoint may have sent nothing on any stream that
-// is asked in the place of an idle one, where gapTarget is the target between two events.
-func AnsweringLimit(gapTarget time.Duration) time.Duration {
-	return time.Duration(answeringShare * float64(EndpointIdleLimit(gapTarget)))
+// HedgeTargetIdleLimit returns how long the target of a hedge for an idle endpoint may have sent
+// nothing on any stream. gapTarget is the target time between two events.
+func HedgeTargetIdleLimit(gapTarget time.Duration) time.Duration {
+	return time.Duration(activeFraction * float64(EndpointIdleLimit(gapTarget)))
 }
 
-// StreamIdleLimit returns for how long one stream may get nothing although its
-// endpoint sends on others. target is that of the first event, or that between
-// events once the answer has begun.
+// StreamIdleLimit returns how long a stream may receive nothing while its endpoint sends on
+// others. target is the latency target, or the gap target once the response has begun.
 func StreamIdleLimit(target time.Duration) time.Duration {
-	return max(lostFactor*target, minStreamIdle)
+	return max(streamIdleFactor*target, minStreamIdle)
 }
 
-// Stall is what is known of a request while its endpoint is waited for.
+// Stall describes a request that is waiting for its endpoint.
 type Stall struct {
-	// Begun is set when an event came from this endpoint for this request.
+	// Begun is set when the endpoint has sent an event for this request.
 	Begun bool
-	// Outdated is set when the endpoint holds weights on which no request may begin
-	// any more.
+	// Outdated is set when the endpoint's weights are older than those on which a request may
+	// still begin.
 	Outdated bool
-	// LastAttempt is set when the route allows no further one.
+	// LastAttempt is set when the route allows no further attempt.
 	LastAttempt bool
-	// EndpointIdle is for how long the endpoint sent nothing on any stream.
+	// EndpointIdle is how long the endpoint has sent nothing on any stream.
 	EndpointIdle time.Duration
-	// EndpointIdleLimit is what it may be; see the function of that name.
+	// EndpointIdleLimit is the limit of EndpointIdle; see the function of that name.
 	EndpointIdleLimit time.Duration
-	// StreamIdle is for how long this request got nothing.
+	// StreamIdle is how long this request has received nothing.
 	StreamIdle time.Duration
-	// StreamIdleLimit is what it may be; see the function of that name.
+	// StreamIdleLimit is the limit of StreamIdle; see the function of that name.
 	StreamIdleLimit time.Duration
 }
 
-// Wait is what becomes of a request whose endpoint is waited for. It is one of
-// KeepWaiting, Leave and Hedge.
-type Wait interface {
+// WaitDecision says what to do with a request that is waiting for its endpoint. It is one of
+// KeepWaiting, Abandon and Hedge.
+type WaitDecision interface {
 	wait()
 }
 
-// KeepWaiting goes on waiting.
+// KeepWaiting continues to wait.
 type KeepWaiting struct{}
 
-// Leave gives the endpoint up, whatever there is elsewhere.
-type Leave struct{}
+// Abandon ends the attempt, even if no other endpoint is available.
+type Abandon struct{}
 
-// Hedge goes on waiting and sends the request to another endpoint as well, if one can take
-// it now and the retry budget has a retry. The first that answers serves it: an endpoint is
-// not left on the mere prospect of another, which may refuse, fail or be taken by then.
+// Hedge continues to wait and also sends the request to another endpoint, if one has capacity
+// now and the retry budget allows it. The first to respond serves the request. The first
+// endpoint is not abandoned before that, because the other may refuse, fail or have been taken
+// in the meantime.
 type Hedge struct {
-	// MaxLoad is the load below which the other endpoint must be, in requests for
-	// each slot; 0 means any.
+	// MaxLoad is the load below which the other endpoint must be, in requests per slot; 0 means
+	// any.
 	MaxLoad float64
 }
 
 func (KeepWaiting) wait() {}
-func (Leave) wait()       {}
+func (Abandon) wait()     {}
 func (Hedge) wait()       {}
 
-// WaitForStream returns whether a stream goes on waiting for its endpoint. A stream
-// that has not begun must not begin on outdated weights. An endpoint that is idle
-// on all streams is doubted in favour of any other; one that sends to others only of one
-// with a free slot, since the place in its queue is worth something.
-func WaitForStream(s Stall) Wait {
+// WaitForStream returns whether a stream keeps waiting for its endpoint. A stream must not begin
+// on outdated weights. If the endpoint is idle on all streams, any other endpoint may serve the
+// hedge. If it sends on other streams, only one with a free slot may, since the request's position
+// in the first endpoint's queue has value.
+func WaitForStream(s Stall) WaitDecision {
 	switch {
 	case !s.Begun && s.Outdated:
-		return Leave{}
+		return Abandon{}
 	case s.LastAttempt:
 		return KeepWaiting{}
 	case s.EndpointIdle > s.EndpointIdleLimit:
 		return Hedge{}
 	case s.StreamIdle > s.StreamIdleLimit:
-		return Hedge{MaxLoad: idleLoad}
+		return Hedge{MaxLoad: hedgeMaxLoad}
 	}
 	return KeepWaiting{}
 }
 
-// WaitForPlain returns whether a plain request that may run twice goes on waiting
-// for its endpoint, of which it has got nothing for waited. target is its latency
-// target.
-func WaitForPlain(waited, target time.Duration, lastAttempt bool) Wait {
-	if !lastAttempt && waited > plainFactor*target {
+// WaitForPlain returns whether a repeatable plain request keeps waiting for its endpoint, from
+// which it has received nothing for waited. target is its latency target.
+func WaitForPlain(waited, target time.Duration, lastAttempt bool) WaitDecision {
+	if !lastAttempt && waited > plainWaitFactor*target {
 		return Hedge{}
 	}
 	return KeepWaiting{}
--- a/gateway/proxy/accept.go
+++ b/gateway/proxy/accept.go
@@ -32,7 +32,7 @@
 	names := &p.cfg.Headers
 	c := &call{id: r.Header.Get(names.RequestID), startedAt: time.Now(), config: p.routes.Load()}
 	if c.config == nil {
-		return c, verdict.NewError(verdict.NotRun, verdict.CodeNoEndpoint, "no configuration yet").After(policy.RetryNoConfig)
+		return c, verdict.NewError(verdict.NotRun, verdict.CodeNoEndpoint, "no configuration yet").After(policy.RetryAfterNoConfig)
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	c.route = c.config.Match(r.Host, path)
@@ -59,7 +59,7 @@
 		c.spent = p.patience.spent(c.patienceKey(), patience, c.startedAt)
 	}
 	if !p.takes(c.deadline) {
-		return c, verdict.NewError(verdict.NotRun, verdict.CodeLeaving, "this gateway ends before the request may").After(policy.RetrySoon)
+		return c, verdict.NewError(verdict.NotRun, verdict.CodeLeaving, "this gateway ends before the request may").After(policy.RetryAfterDefault)
 	}
 	c.copies = copiesOf(r, c.account, body)
 	c.request = &upstream.Request{Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: p.forwardHeader(r.Header, c), Body: body}
--- a/gateway/proxy/answer.go
+++ b/gateway/proxy/answer.go
@@ -30,7 +30,7 @@
 // judge looks at the head of an answer and returns why it can't be passed on, and
 // what that says of the endpoint.
 func (p *Proxy) judge(a *attempt) (*verdict.Error, balance.Outcome) {
-	failure := policy.JudgeAnswer(a.head)
+	failure := policy.CheckResponse(a.head)
 	if failure == nil {
 		return nil, balance.Neutral
 	}
@@ -58,9 +58,9 @@
 }
 
 // head returns the head of an answer as it is judged.
-func (p *Proxy) head(c *call, x *upstream.Exchange) policy.AnswerHead {
+func (p *Proxy) head(c *call, x *upstream.Exchange) policy.ResponseHead {
 	names := &p.cfg.Headers
-	return policy.AnswerHead{
+	return policy.ResponseHead{
 		Status:       x.Status,
 		NotRun:       x.Header.Get(names.NotRun) != "",
 		OtherRequest: x.Header.Get(names.RequestID) != c.id,
@@ -125,7 +125,7 @@
 // replaces returns whether another endpoint is asked in place of one that answered with an
 // error.
 func (p *Proxy) replaces(ctx context.Context, c *call) bool {
-	wanted := policy.ReplaceErrorAnswer(policy.ErrorAnswer{
+	wanted := policy.RetriesErrorResponse(policy.ErrorResponse{
 		Repeatable:  c.route.Repeatable(),
 		Attempts:    c.reached(len(c.attempted)),
 		MaxAttempts: c.route.Attempts,
--- a/gateway/proxy/attempt.go
+++ b/gateway/proxy/attempt.go
@@ -25,7 +25,7 @@
 	x       *upstream.Exchange
 	failure *verdict.Error
 	// head is the answer's head as it is judged, told what it says of the endpoint; see hear.
-	head policy.AnswerHead
+	head policy.ResponseHead
 	told advisory.Advisory
 	// outcome is what is known of the endpoint by now.
 	outcome balance.Outcome
@@ -64,7 +64,7 @@
 
 // goesOn returns whether there is another attempt after so many.
 func (p *Proxy) goesOn(ctx context.Context, c *call, tries int, last *verdict.Error) bool {
-	if policy.Withholds(last.Code) || p.quarantined(c) {
+	if policy.IsWithheld(last.Code) || p.quarantined(c) {
 		c.ended = policy.Withheld.String()
 		return false
 	}
@@ -83,10 +83,10 @@
 // bounds how many endpoints a request is sent to, not how often. Where one has just
 // refused it, it waits before that.
 func returns(ctx context.Context, c *call, tries int, last *verdict.Error) bool {
-	if !c.headSent || !policy.Returns(tries, c.route.Attempts, last.Code) {
+	if !c.headSent || !policy.MayReuseEndpoint(tries, c.route.Attempts, last.Code) {
 		return false
 	}
-	return last.Verdict != verdict.NotRun || wait.For(ctx, policy.ReturnPause)
+	return last.Verdict != verdict.NotRun || wait.For(ctx, policy.ReuseDelay)
 }
 
 // retries returns whether the request goes to another endpoint, and takes the
@@ -100,7 +100,7 @@
 		Left:       time.Until(c.deadline),
 	})
 	switch decision {
-	case policy.FreeRetry:
+	case policy.UnbudgetedRetry:
 		return true
 	case policy.BudgetedRetry:
 		if p.takeRepeat(c, c.purpose(), time.Now()) {
--- a/gateway/proxy/call.go
+++ b/gateway/proxy/call.go
@@ -161,7 +161,7 @@
 
 // priority returns the request's priority at endpoints now.
 func (c *call) priority() int {
-	return policy.Priority(policy.Urgency{
+	return policy.Priority(policy.PriorityInputs{
 		Rank:          c.rank(),
 		Resumed:       c.headSent,
 		LongestTarget: c.route.LatencyTarget >= c.config.LongestTarget(c.service),
--- a/gateway/proxy/ended.go
+++ b/gateway/proxy/ended.go
@@ -79,10 +79,10 @@
 // has is not tried again at once by others, which would find that out one by one: in the test
 // of requests beside one that ends endpoints 3 of 200 were refused so.
 func (p *Proxy) noteEnd(c *call, a *attempt) {
-	if !policy.MayHaveEnded(a.failure) || a.lease.Leaving() || !p.ends.ended(a.lease.Record, time.Now()) {
+	if !policy.MayHaveCrashed(a.failure) || a.lease.Leaving() || !p.ends.ended(a.lease.Record, time.Now()) {
 		return
 	}
 	a.outcome = balance.Unreachable
 	p.logEnd(c, a.lease)
-	p.cfg.Poison.Ended(c.copies, a.lease.Record.Life(), time.Now())
+	p.cfg.Poison.RecordCrash(c.copies, a.lease.Record.Life(), time.Now())
 }
--- a/gateway/proxy/hear.go
+++ b/gateway/proxy/hear.go
@@ -16,7 +16,7 @@
 		return
 	}
 	a.head = p.head(c, a.x)
-	if !policy.SpeaksForEndpoint(a.head) {
+	if !policy.IsFromEndpoint(a.head) {
 		return
 	}
 	a.told = p.cfg.ReadAdvisory(a.x.Status, a.x.Header)
--- a/gateway/proxy/hedge.go
+++ b/gateway/proxy/hedge.go
@@ -68,7 +68,7 @@
 	if c.route.Kind != routes.Stream {
 		return 0
 	}
-	return policy.AnsweringLimit(c.route.GapTarget)
+	return policy.HedgeTargetIdleLimit(c.route.GapTarget)
 }
 
 // hedgeOptions returns how a hedge is sent. It is withdrawn where its endpoint's weights
@@ -145,10 +145,10 @@
 
 // leaves carries out a decision about waiting: it returns whether the endpoint of lease is
 // left now.
-func (p *Proxy) leaves(ctx context.Context, c *call, lease *balance.Lease, s *policy.Stall, w policy.Wait) bool {
+func (p *Proxy) leaves(ctx context.Context, c *call, lease *balance.Lease, s *policy.Stall, w policy.WaitDecision) bool {
 	left := false
 	switch w := w.(type) {
-	case policy.Leave:
+	case policy.Abandon:
 		left = true
 	case policy.Hedge:
 		if c.hedge == nil && p.hedge(ctx, c, w.MaxLoad, p.answeringLimit(c)) {
--- a/gateway/proxy/observe.go
+++ b/gateway/proxy/observe.go
@@ -75,7 +75,7 @@
 func (p *Proxy) served(c *call) {
 	took := time.Since(c.startedAt)
 	p.cfg.Metrics.Served.Inc(1)
-	p.cfg.Poison.Answered(c.copies, time.Now())
+	p.cfg.Poison.RecordAnswer(c.copies, time.Now())
 	p.cfg.Metrics.Whole.Update(took.Microseconds())
 	if len(c.attempted) > 1 {
 		p.cfg.Metrics.Repeats.Inc(int64(len(c.attempted) - 1))
@@ -165,7 +165,7 @@
 // logFailure notes a request that was not answered by an endpoint.
 func (p *Proxy) logFailure(c *call, e *verdict.Error) {
 	p.cfg.Metrics.Failed.Inc(1)
-	if policy.Withholds(e.Code) {
+	if policy.IsWithheld(e.Code) {
 		p.cfg.Metrics.Withheld.Inc(1)
 	}
 	if e.Code == policy.CodeClosed {
--- a/gateway/proxy/pick.go
+++ b/gateway/proxy/pick.go
@@ -14,7 +14,7 @@
 
 // query returns what an endpoint is wanted for.
 func (p *Proxy) query(c *call) *balance.Query {
-	q := &balance.Query{Service: c.service, Exclude: c.attempted, Apart: policy.RunsApart(c.ends)}
+	q := &balance.Query{Service: c.service, Exclude: c.attempted, Apart: policy.RequiresIsolation(c.ends)}
 	if c.lastAttempt() {
 		q.Exclude, q.Among = []string{c.current}, c.attempted
 	}
@@ -57,13 +57,13 @@
 	began := time.Now()
 	for {
 		lease, err := p.pick(ctx, p.query(c))
-		if !policy.AwaitsLoad(c.headSent, loading(lease, err), time.Since(began)) {
+		if !policy.WaitsForLoad(c.headSent, loading(lease, err), time.Since(began)) {
 			return lease, p.pickFailure(c, err)
 		}
 		if lease != nil {
 			lease.Done(balance.Neutral, time.Now())
 		}
-		if !wait.For(ctx, policy.PauseWait) {
+		if !wait.For(ctx, policy.LoadPollInterval) {
 			return nil, verdict.Classify(verdict.Answering, context.Cause(ctx))
 		}
 	}
@@ -89,7 +89,7 @@
 	}
 	var full *balance.FullError
 	if errors.As(err, &full) {
-		return policy.OpensSoon(full.OpensIn)
+		return policy.ReopensSoon(full.OpensIn)
 	}
 	return lease != nil && lease.Paused(time.Now())
 }
@@ -107,10 +107,10 @@
 // their own word.
 func (p *Proxy) closed(service string, opensIn time.Duration) *verdict.Error {
 	e := verdict.NewError(verdict.NotRun, policy.CodeClosed, "all endpoints of %s take no more for now, by their own word", service)
-	return e.After(policy.OpeningRetry(opensIn, p.cfg.Random()))
+	return e.After(policy.RetryAfterReopening(opensIn, p.cfg.Random()))
 }
 
 // shortage returns the failure of a request that found no endpoint.
 func (p *Proxy) shortage(code verdict.Code, format, service string) *verdict.Error {
-	return verdict.NewError(verdict.NotRun, code, format, service).After(policy.ShortageRetry(p.cfg.Random()))
+	return verdict.NewError(verdict.NotRun, code, format, service).After(policy.RetryAfterShortage(p.cfg.Random()))
 }
--- a/gateway/proxy/proxy.go
+++ b/gateway/proxy/proxy.go
@@ -131,7 +131,7 @@
 // takes returns whether a request with a deadline is taken.
 func (p *Proxy) takes(deadline time.Time) bool {
 	end := p.leaving.Load()
-	return end == nil || policy.EndsInTime(deadline, *end)
+	return end == nil || policy.AcceptsDuringShutdown(deadline, *end)
 }
 
 // Running tells of the requests in progress.
--- a/gateway/proxy/withhold.go
+++ b/gateway/proxy/withhold.go
@@ -13,7 +13,7 @@
 
 // suspicion returns how far the call's request is suspected.
 func (p *Proxy) suspicion(c *call) poison.State {
-	state, _ := p.cfg.Poison.Look(c.copies)
+	state, _ := p.cfg.Poison.Lookup(c.copies)
 	return state
 }
 
@@ -27,14 +27,14 @@
 // known before another copy is sent. Without it 60 endpoints ended under one request in a
 // soak of 15 s.
 func (p *Proxy) admit(ctx context.Context, c *call) *verdict.Error {
-	state, key := p.cfg.Poison.Look(c.copies)
+	state, key := p.cfg.Poison.Lookup(c.copies)
 	switch state {
 	case poison.Quarantined:
 		return withheld(policy.CodeQuarantined)
 	case poison.Clear:
 		return nil
 	}
-	c.ends = len(p.cfg.Poison.Record(key).Ends)
+	c.ends = len(p.cfg.Poison.Record(key).Crashes)
 	if c.trial != nil {
 		return nil
 	}
@@ -76,7 +76,7 @@
 // quarantined one copies have run, and another try would fail as well: no time to come back.
 func withheld(code verdict.Code) *verdict.Error {
 	if code == policy.CodeOnTrial {
-		return verdict.NewError(verdict.NotRun, code, "an endpoint ended under this request, of which another copy is being tried").After(policy.RetryTrial)
+		return verdict.NewError(verdict.NotRun, code, "an endpoint ended under this request, of which another copy is being tried").After(policy.RetryAfterTrial)
 	}
 	return verdict.NewError(verdict.MayHaveRun, code, "endpoints ended under this request")
 }
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -33,7 +33,7 @@
 // lock.
 func (g *Gateway) notePoison(c poison.Change) {
 	state := c.Record.State()
-	if c.Cause != poison.CauseTold && g.beater != nil {
+	if c.Cause != poison.CauseGossip && g.beater != nil {
 		g.beater.SendSoon()
 	}
 	if state == c.Before {
@@ -42,7 +42,7 @@
 	key := c.Record.Key.String()
 	switch {
 	case state == poison.Quarantined:
-		g.log.Warn("request quarantined", "key", key, "cause", string(c.Cause), "ends", len(c.Record.Ends),
+		g.log.Warn("request quarantined", "key", key, "cause", string(c.Cause), "ends", len(c.Record.Crashes),
 			"relapses", c.Record.Relapses, "forMs", poison.QuarantineTime(c.Record.Relapses).Milliseconds())
 	case c.Before != poison.Clear:
 		g.log.Info("request cleared", "key", key, "cause", string(c.Cause), "quarantined", c.Before == poison.Quarantined)
@@ -88,11 +88,11 @@
 func (g *Gateway) askTrial(ctx context.Context, owner member.Entry, q poison.BeginRequest) (*poison.BeginReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, trialLimit)
 	defer cancel()
-	reply, err := poison.AskBegin(ctx, g.peers, owner.Peer, q)
+	reply, err := poison.CallBegin(ctx, g.peers, owner.Peer, q)
 	if err != nil {
 		return nil, err
 	}
-	g.poison.Take(poison.Unpack(reply.Records), time.Now())
+	g.poison.Merge(poison.Unpack(reply.Records), time.Now())
 	return reply, nil
 }
 
@@ -100,7 +100,7 @@
 func (g *Gateway) endTrial(owner member.Entry, k poison.Key, holder string) {
 	ctx, cancel := context.WithTimeout(context.Background(), trialLimit)
 	defer cancel()
-	if err := poison.AskEnd(ctx, g.peers, owner.Peer, poison.EndRequest{Key: k, Holder: holder, Records: g.packed(k)}); err != nil {
+	if err := poison.CallEnd(ctx, g.peers, owner.Peer, poison.EndRequest{Key: k, Holder: holder, Records: g.packed(k)}); err != nil {
 		g.log.Debug("lease not given back", "peer", owner.Peer, "err", err)
 	}
 }
@@ -112,7 +112,7 @@
 
 // usePoison takes in what another gateway tells. A relay tells it on at once.
 func (g *Gateway) usePoison(data []byte) {
-	if g.poison.Take(poison.Unpack(data), time.Now()) && g.table.IsRelay() {
+	if g.poison.Merge(poison.Unpack(data), time.Now()) && g.table.IsRelay() {
 		g.beater.SendSoon()
 	}
 }
@@ -157,7 +157,7 @@
 			go g.storeQuarantine(r.Key)
 		default:
 			began := until.Add(-poison.QuarantineTime(r.Relapses))
-			g.poison.Take([]poison.Record{r}, now.Add(min(began.Sub(now), 0)))
+			g.poison.Merge([]poison.Record{r}, now.Add(min(began.Sub(now), 0)))
 		}
 	}
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -16,7 +16,7 @@
 
 // quarantine puts a request that three endpoints ended under into the store, until a time.
 func quarantine(store *standin.Store, uri string, until time.Time) poison.Key {
-	r := poison.Record{Key: (&poison.Request{Method: http.MethodGet, URI: uri}).Key(), Ends: []poison.Life{1, 2, 3}}
+	r := poison.Record{Key: (&poison.Request{Method: http.MethodGet, URI: uri}).Key(), Crashes: []poison.Incarnation{1, 2, 3}}
 	store.Put(platform.KindQuarantine, r.Key.String(), platform.NewQuarantine(r, until))
 	return r.Key
 }
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -45,7 +45,7 @@
 	InFlight  map[string]int   `json:"inFlight"`
 	Versions  []shownVersion   `json:"versions"`
 	// Poison are the requests under which endpoints ended.
-	Poison []poison.Listed `json:"poison"`
+	Poison []poison.RequestStatus `json:"poison"`
 }
 
 // shownVersion is the newest version of a model as the person on call sees it.
@@ -99,7 +99,7 @@
 	}
 	b.SetEndpoints(g.balancer.InFlight(), g.balancer.Suspects(time.Now()))
 	now := time.Now()
-	b.Poison = poison.Pack(g.poison.News(g.table.IsRelay(), now))
+	b.Poison = poison.Pack(g.poison.Gossip(g.table.IsRelay(), now))
 	b.Advice = advisory.Pack(g.balancer.Advisories(g.table.IsRelay(), now), now)
 	for kind, m := range g.mirrors {
 		b.Copies[kind] = m.State().Version()
--- a/member/fleet_test.go
+++ b/member/fleet_test.go
@@ -136,7 +136,7 @@
 	}
 	n := &node{fleet: f, entry: entry, table: member.NewTable(entry)}
 	n.poison = poison.NewTable(func(c poison.Change) {
-		if c.Cause != poison.CauseTold {
+		if c.Cause != poison.CauseGossip {
 			n.beater.SendSoon()
 		}
 	})
@@ -190,7 +190,7 @@
 	b := member.Heartbeat{Entry: n.entry, Ready: true, Copies: map[string]mirror.Version{"config": {Revision: n.copies, Digest: uint64(n.copies)}}}
 	b.SetEndpoints(n.inFlight, n.suspects)
 	now := time.Now()
-	b.Poison = poison.Pack(n.poison.News(n.table.IsRelay(), now))
+	b.Poison = poison.Pack(n.poison.Gossip(n.table.IsRelay(), now))
 	b.Advice = advisory.Pack(n.balancer.Advisories(n.table.IsRelay(), now), now)
 	return b
 }
@@ -205,7 +205,7 @@
 
 // hearPoison takes in what another gateway tells, and as a relay tells it on.
 func (n *node) hearPoison(data []byte) {
-	if n.poison.Take(poison.Unpack(data), time.Now()) && n.table.IsRelay() {
+	if n.poison.Merge(poison.Unpack(data), time.Now()) && n.table.IsRelay() {
 		n.beater.SendSoon()
 	}
 }
--- a/member/news_test.go
+++ b/member/news_test.go
@@ -18,7 +18,7 @@
 func ends(nodes []*node) {
 	for i := range 3 {
 		at := nodes[i*(len(nodes)-1)/2]
-		at.poison.Ended(fatal, roster.Life{ID: fmt.Sprint("e", i)}, time.Now())
+		at.poison.RecordCrash(fatal, roster.Life{ID: fmt.Sprint("e", i)}, time.Now())
 	}
 }
 
@@ -26,7 +26,7 @@
 func quarantinedBy(nodes []*node) int {
 	count := 0
 	for _, n := range nodes {
-		if state, _ := n.poison.Look(fatal); state == poison.Quarantined {
+		if state, _ := n.poison.Lookup(fatal); state == poison.Quarantined {
 			count++
 		}
 	}
@@ -75,7 +75,7 @@
 				f.cut = func(from, to string) bool { return from == away.entry.Name || to == away.entry.Name }
 				f.mu.Unlock()
 				for i := range 3 {
-					nodes[i].poison.Ended(fatal, roster.Life{ID: fmt.Sprint("e", i)}, time.Now())
+					nodes[i].poison.RecordCrash(fatal, roster.Life{ID: fmt.Sprint("e", i)}, time.Now())
 				}
 				time.Sleep(5 * time.Second)
 				f.Expect(quarantinedBy(nodes)).To(Equal(size - 1))
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -69,7 +69,7 @@
 mutant "what came in a standstill is not read" gateway/upstream/watch.go 's/time.Since\(until\) > askedLate/until.IsZero()/' ./gateway/upstream 'TestWhatCame'
 mutant "an error answer is given away" gateway/proxy/attempt.go 's/last == nil \|\| p.fallBack\(w, c\)/last == nil/' ./gateway/proxy 'TestAnErrorAnswerIsNot'
 mutant "hedges use up what cut answers need" gateway/proxy/hedge.go 's/Take\(c.service, Retry, now\)/Take(c.service, c.purpose(), now)/' ./gateway/proxy 'TestHedgesLeaveBudget'
-mutant "an answer does not return" gateway/policy/retry.go 's/return attempts < returnFactor\*maxAttempts \&\&/return false \&\&/' ./gateway/proxy 'TestAStreamGoesOnWhereItWasBefore'
+mutant "an answer does not return" gateway/policy/retry.go 's/return attempts < reuseFactor\*maxAttempts \&\&/return false \&\&/' ./gateway/proxy 'TestAStreamGoesOnWhereItWasBefore'
 mutant "a leaving gateway takes everything" gateway/policy/leaving.go 's/return !deadline.After\(end\)/return true/' ./gateway/proxy 'TestALeavingGateway'
 mutant "what a gateway ends gets no answer" gateway/proxy/proxy.go 's/end\(context.DeadlineExceeded\)/_ = end/' ./gateway/proxy 'TestWhatHasNoAnswer'
 mutant "a request that is being read counts as rest" serve/connections.go 's/c.reading = true/c.reading = false/' ./serve 'TestAShutdownWaitsForARequest'
@@ -112,14 +112,14 @@
 mutant "a replaced version is left half way" sidecar/stage/fetch.go 's/go s.bringFirstCopies\(whole, model, want.version\)/_ = whole/' ./sidecar/stage 'TestFirstCopiesOfAVersion'
 mutant "nobody reads the store before it has listened" gateway/replica/rules.go 's/return watches && first/return false/' ./gateway/replica 'TestTheFirstThatTheStoreLists'
 
-mutant "an end is charged to nobody" gateway/proxy/ended.go 's/p.cfg.Poison.Ended\(c.copies, a.lease.Record.Life\(\), time.Now\(\)\)/_ = c/' ./gateway/proxy 'TestARequestThatEnds'
+mutant "an end is charged to nobody" gateway/proxy/ended.go 's/p.cfg.Poison.RecordCrash\(c.copies, a.lease.Record.Life\(\), time.Now\(\)\)/_ = c/' ./gateway/proxy 'TestARequestThatEnds'
 mutant "an answer that breaks off counts as an end" gateway/upstream/refused.go 's/return errors.Is/return true || errors.Is/; s/put\(cn\)\n\treturn false/put(cn)\n\treturn true/' ./gateway/proxy 'TestAnAnswerThatBreaksOff'
 mutant "copies are tried side by side" gateway/proxy/withhold.go 's/case poison.Clear:\n\t\treturn nil\n\t\}/case poison.Clear, poison.Suspected:\n\t\treturn nil\n\t}/' ./gateway/proxy 'TestARequestThatEnds'
-mutant "a whole answer clears nothing" gateway/poison/table.go 's/t.clear\(k, CauseAnswered, now\)/_ = k/' ./gateway/poison 'TestAWholeAnswer'
-mutant "one end counts at each gateway" gateway/poison/record.go 's/out.Ends = slices.Compact\(out.Ends\)/_ = out/' ./gateway/poison 'TestAnEndThatSeveral|TestRecordsAreJoined'
-mutant "what others tell ends what is told" gateway/poison/table.go 's/\tif own \{\n/\tq.ownUntil = time.Time{}\n\tif own {\n/' ./gateway/poison 'TestWhatOthersTell'
-mutant "who was cut off is not told" gateway/poison/news.go 's/\|\| whole && q.State\(\) == Quarantined//' ./member 'TestWhoWasCutOff'
-mutant "relays keep news of ends" gateway/poison/news.go 's/ \|\| all && now.Before\(q.newsUntil\)//' ./member 'TestEndsUnderARequest'
+mutant "a whole answer clears nothing" gateway/poison/table.go 's/t.clear\(k, CauseAnswered, now\)/_ = k/' ./gateway/poison 'TestACompleteAnswer'
+mutant "one end counts at each gateway" gateway/poison/record.go 's/out.Crashes = slices.Compact\(out.Crashes\)/_ = out/' ./gateway/poison 'TestJoinCountsACrash|TestJoinIsIdempotent'
+mutant "what others tell ends what is told" gateway/poison/table.go 's/\tif own \{\n/\tq.gossipOwnUntil = time.Time{}\n\tif own {\n/' ./gateway/poison 'TestReceivedGossip'
+mutant "who was cut off is not told" gateway/poison/gossip.go 's/\|\| whole && q.State\(\) == Quarantined//' ./member 'TestWhoWasCutOff'
+mutant "relays keep news of ends" gateway/poison/gossip.go 's/ \|\| all && now.Before\(q.gossipUntil\)//' ./member 'TestEndsUnderARequest'
 mutant "a gateway that starts knows nothing" gateway/quarantine.go 's/g.takeQuarantine\(objects\)/_ = objects/' ./gateway 'TestAGatewayThatStartsKnows'
 mutant "what has begun does not wait for its lease" gateway/proxy/withhold.go 's/case !c.headSent \|\| !wait/case c.headSent || !wait/' ./gateway/proxy 'TestStreamsOfCopies'
 mutant "attempts without a connection use up the route's" gateway/proxy/call.go 's/n - min\(p.unreached, maxUnreached\)/n/' ./gateway/proxy 'TestARequestThatEnds'
@@ -141,7 +141,7 @@
 mutant "a rest is a failure" gateway/proxy/answer.go 's/if told.Rest > 0/if false/' ./gateway/proxy 'TestAnEndpointThatAskedForRestOften'
 mutant "a holder lends nothing" gateway/balance/token.go 's/ownTurn \|\| opensIn > maxAhead/true || ownTurn || opensIn > maxAhead/' ./gateway/proxy 'TestAnEndpointWithALimitServes|TestALimitEndsWhose'
 mutant "a holder always has its turn" gateway/balance/token.go 's/ownTurn := l.lent \&\& /ownTurn := /' ./gateway/proxy 'TestTheHolder'
-mutant "ends that another request explains count" gateway/poison/table.go 's/if q.Explains\(&other.Record\)/if false/' ./gateway/poison 'TestARequestIsQuarantinedWith'
+mutant "ends that another request explains count" gateway/poison/table.go 's/if q.Explains\(&other.Record\)/if false/' ./gateway/poison 'TestSharedCrashes'
 
 echo "$passed passed, $failed failed"
 [ $failed = 0 ]
