--- a/gateway/policy/late.go
+++ b/gateway/policy/late.go
@@ -5,10 +5,10 @@
 // Limits for late callers: those that retry after a refusal when their latency target can no
 // longer be met.
 const (
-	// lateMaxLoad is the load up to which an endpoint accepts late callers while callers that
+	// lateLoadCap is the load up to which an endpoint accepts late callers while callers that
 	// are still on time are being refused. It is capacity that those leave unused below their
 	// own limits.
-	lateMaxLoad = 0.85
+	lateLoadCap = 0.85
 	// overloadWindow is how long a service counts as overloaded after it refused a caller that
 	// was still on time. Such refusals are continuous during an overload, so late callers can
 	// be accepted as soon as they stop. With 2 s, late callers were refused after shortages
@@ -30,5 +30,5 @@
 	if refusedAgo > overloadWindow {
 		return limit
 	}
-	return min(limit, lateMaxLoad)
+	return min(limit, lateLoadCap)
 }
