--- a/member/advice_test.go
+++ b/member/advice_test.go
@@ -12,19 +12,19 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// advised is an endpoint that tells of itself in its answers.
-var advised = &roster.List{Endpoints: map[string]*roster.Endpoint{"e": {ID: "e", Service: "s", Addr: "e", Slots: 4}}}
+// advisingEndpoint is an endpoint that tells of itself in its answers.
+var advisingEndpoint = &roster.List{Endpoints: map[string]*roster.Endpoint{"e": {ID: "e", Service: "s", Addr: "e", Slots: 4}}}
 
-// answer lets a gateway have an answer of the endpoint.
-func (n *node) answer(f *fleet, a advisory.Advisory) {
+// receiveAnswer lets a gateway have an receiveAnswer of the endpoint.
+func (n *node) receiveAnswer(f *fleet, a advisory.Advisory) {
 	lease, err := n.balancer.Pick(&balance.Query{Service: "s"}, time.Now())
 	f.Expect(err).NotTo(HaveOccurred())
 	lease.Hear(a, time.Now(), time.Now())
 	lease.Done(balance.Served, time.Now())
 }
 
-// takes returns how many of nodes send the endpoint requests.
-func takes(nodes []*node) int {
+// countSending returns how many of nodes send the endpoint requests.
+func countSending(nodes []*node) int {
 	count := 0
 	for _, n := range nodes {
 		if lease, err := n.balancer.Pick(&balance.Query{Service: "s"}, time.Now()); err == nil {
@@ -37,22 +37,22 @@
 
 // Gateways that have not heard of a limit send on, and the more there are the more.
 func TestALimitIsKnownByAllSoon(t *testing.T) {
-	for _, c := range spreads {
+	for _, c := range propagationCases {
 		t.Run(fmt.Sprintf("%d gateways, loss %g", c.size, c.loss), func(t *testing.T) {
-			playFleet(t, c.size, func(f *fleet, nodes []*node) {
+			runFleet(t, c.size, func(f *fleet, nodes []*node) {
 				holder := nodes[0]
 				holder.balancer.Hold(map[string]bool{"e": true}, time.Now())
 				f.mu.Lock()
 				f.loss = c.loss
 				f.mu.Unlock()
-				nodes[c.size-1].answer(f, advisory.Advisory{Limit: advisory.PerSecond(1)})
+				nodes[c.size-1].receiveAnswer(f, advisory.Advisory{Limit: advisory.PerSecond(1)})
 				time.Sleep(c.within)
-				f.Expect(takes(nodes)).To(BeZero())
+				f.Expect(countSending(nodes)).To(BeZero())
 				time.Sleep(10 * time.Second)
-				f.Expect(takes(nodes[1:])).To(BeZero(), "who holds the endpoint confirms it")
-				holder.answer(f, advisory.Advisory{Limit: advisory.Unlimited{}})
+				f.Expect(countSending(nodes[1:])).To(BeZero(), "who holds the endpoint confirms it")
+				holder.receiveAnswer(f, advisory.Advisory{Limit: advisory.Unlimited{}})
 				time.Sleep(c.within)
-				f.Expect(takes(nodes)).To(Equal(c.size))
+				f.Expect(countSending(nodes)).To(Equal(c.size))
 			})
 		})
 	}
@@ -62,19 +62,19 @@
 func TestWhoStartsIsToldOfLimits(t *testing.T) {
 	for _, size := range []int{6, 39} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			playFleet(t, size, func(f *fleet, nodes []*node) {
+			runFleet(t, size, func(f *fleet, nodes []*node) {
 				nodes[0].balancer.Hold(map[string]bool{"e": true}, time.Now())
-				nodes[0].answer(f, advisory.Advisory{Limit: advisory.PerSecond(1)})
+				nodes[0].receiveAnswer(f, advisory.Advisory{Limit: advisory.PerSecond(1)})
 				time.Sleep(5 * time.Second)
 				f.kill(size - 1)
 				time.Sleep(time.Second)
 				f.mu.Lock()
-				f.cut = nil
+				f.blocked = nil
 				f.mu.Unlock()
 				again := f.start(size-1, 2, size, nil)
-				f.Expect(takes([]*node{again})).To(Equal(1))
+				f.Expect(countSending([]*node{again})).To(Equal(1))
 				time.Sleep(2 * time.Second)
-				f.Expect(takes([]*node{again})).To(BeZero())
+				f.Expect(countSending([]*node{again})).To(BeZero())
 			})
 		})
 	}
@@ -82,8 +82,8 @@
 
 // What no endpoint says must cost nothing.
 func TestNothingIsToldWhileNoEndpointNamesALimit(t *testing.T) {
-	playFleet(t, 6, func(f *fleet, nodes []*node) {
-		nodes[0].answer(f, advisory.Advisory{Limit: advisory.Unlimited{}})
+	runFleet(t, 6, func(f *fleet, nodes []*node) {
+		nodes[0].receiveAnswer(f, advisory.Advisory{Limit: advisory.Unlimited{}})
 		f.Expect(nodes[0].describe().Advice).To(BeEmpty())
 	})
 }
--- a/member/counts.go
+++ b/member/counts.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// of returns the count of l, with what may be of it as far as is known.
-func (c counts) of(l roster.Life) int {
+// get returns the count get l, with what may be get it as far as is known.
+func (c counts) get(l roster.Life) int {
 	n := 0
 	for born, counted := range c[l.ID] {
 		if l.Same(roster.Life{ID: l.ID, Born: born}) {
--- a/member/digest.go
+++ b/member/digest.go
@@ -59,8 +59,8 @@
 // keyCounts are numbers by endpoint.
 type keyCounts map[endpointKey]int
 
-// of returns the count of l, with those of gateways that were not told when it began.
-func (c keyCounts) of(l roster.Life) int {
+// get returns the count get l, with those get gateways that were not told when it began.
+func (c keyCounts) get(l roster.Life) int {
 	n := c[keyOf(l)]
 	if l.Born != 0 {
 		n += c[keyOf(roster.Life{ID: l.ID})]
@@ -68,8 +68,8 @@
 	return n
 }
 
-// addLives adds sign times the counts of others, by life.
-func (c keyCounts) addLives(others counts, sign int) {
+// addCounts adds sign times the counts of others, by life.
+func (c keyCounts) addCounts(others counts, sign int) {
 	for id, lives := range others {
 		for born, n := range lives {
 			c[keyOf(roster.Life{ID: id, Born: born})] += sign * n
--- a/member/fleet_test.go
+++ b/member/fleet_test.go
@@ -32,8 +32,8 @@
 	random   *rand.Rand
 	loss     float64
 	gateways map[string]*node
-	// cut are pairs of gateways, by name, where the first does not reach the second.
-	cut func(from, to string) bool
+	// blocked are pairs of gateways, by name, where the first does not reach the second.
+	blocked func(from, to string) bool
 	// sent counts datagrams and bytes by the sender's name.
 	sent map[string]traffic
 }
@@ -51,7 +51,7 @@
 	entry  member.Entry
 	table  *member.Table
 	beater *member.Beater
-	end    context.CancelFunc
+	cancel context.CancelFunc
 	conn   *conn
 
 	mu       sync.Mutex
@@ -62,8 +62,8 @@
 	poison *poison.Table
 	// balancer is what it knows of an endpoint.
 	balancer *balance.Balancer
-	// told is how many bytes it has sent by its own count.
-	told int
+	// countedBytes is how many bytes it has sent by its own count.
+	countedBytes int
 	// lost are all that were believed dead, in order.
 	lost []string
 }
@@ -97,15 +97,15 @@
 	return nil
 }
 
-// peerOf returns the address of gateway i.
-func peerOf(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250+1) }
+// peerAddr returns the address of gateway i.
+func peerAddr(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250+1) }
 
-// nameOf returns the name of gateway i; its zone follows from i.
-func nameOf(i int) string { return fmt.Sprintf("g%03d", i) }
+// gatewayName returns the name of gateway i; its zone follows from i.
+func gatewayName(i int) string { return fmt.Sprintf("g%03d", i) }
 
-func entryOf(i int, life uint64) member.Entry {
+func newEntry(i int, life uint64) member.Entry {
 	zone := string(rune('a' + i%zones))
-	return member.Entry{Name: nameOf(i), Life: life, Peer: peerOf(i), Callers: peerOf(i), Zone: zone, Region: zone, Relays: true}
+	return member.Entry{Name: gatewayName(i), Life: life, Peer: peerAddr(i), Callers: peerAddr(i), Zone: zone, Region: zone, Relays: true}
 }
 
 // deliver carries a datagram.
@@ -115,7 +115,7 @@
 	s := f.sent[from]
 	f.sent[from] = traffic{datagrams: s.datagrams + 1, bytes: s.bytes + len(p)}
 	n := f.gateways[to]
-	if n == nil || f.random.Float64() < f.loss || (f.cut != nil && f.cut(from, n.entry.Name)) {
+	if n == nil || f.random.Float64() < f.loss || (f.blocked != nil && f.blocked(from, n.entry.Name)) {
 		return
 	}
 	data := append([]byte{}, p...)
@@ -130,7 +130,7 @@
 
 // start starts gateway i, which knows the gateways that the store lists.
 func (f *fleet) start(i int, life uint64, listed int, change func(*member.Entry)) *node {
-	entry := entryOf(i, life)
+	entry := newEntry(i, life)
 	if change != nil {
 		change(&entry)
 	}
@@ -141,17 +141,17 @@
 		}
 	})
 	n.balancer = balance.New(balance.Config{OtherLoad: n.table.InFlight, Random: rand.Float64, Advised: func() { n.beater.SendSoon() }})
-	n.balancer.Update(advised)
-	n.conn = &conn{node: n, addr: peerOf(i), queue: make(chan []byte, 1<<12), done: make(chan struct{})}
+	n.balancer.Update(advisingEndpoint)
+	n.conn = &conn{node: n, addr: peerAddr(i), queue: make(chan []byte, 1<<12), done: make(chan struct{})}
 	var known []member.Entry
 	for j := range listed {
-		known = append(known, entryOf(j, 1))
+		known = append(known, newEntry(j, 1))
 	}
 	if listed > 0 {
 		n.table.Know(known)
 	}
 	ctx, end := context.WithCancel(f.ctx)
-	n.end = end
+	n.cancel = end
 	n.beater = member.NewBeater(n.conn, n.table, member.Handlers{
 		Describe: n.describe,
 		After: func(dead []string) {
@@ -160,15 +160,15 @@
 			n.lost = append(n.lost, dead...)
 		},
 		Heard:   func() {},
-		Poison:  n.hearPoison,
-		Advice:  n.hearAdvice,
-		Sent:    n.counted,
+		Poison:  n.handlePoison,
+		Advice:  n.handleAdvice,
+		Sent:    n.countSent,
 		Notice:  func(member.Notice) {},
-		AskRoll: n.askRoll,
+		AskRoll: n.fetchRoll,
 		Log:     log.New(io.Discard),
 	})
 	f.mu.Lock()
-	f.gateways[peerOf(i)] = n
+	f.gateways[peerAddr(i)] = n
 	f.mu.Unlock()
 	go func() {
 		time.Sleep(time.Duration(i*37%200) * time.Millisecond) // they don't start in step
@@ -177,11 +177,11 @@
 	return n
 }
 
-// counted notes what the gateway itself counts of what it sends.
-func (n *node) counted(_ member.Kind, bytes, gateways int) {
+// countSent notes what the gateway itself counts of what it sends.
+func (n *node) countSent(_ member.Kind, bytes, gateways int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.told += bytes * gateways
+	n.countedBytes += bytes * gateways
 }
 
 func (n *node) describe() member.Heartbeat {
@@ -195,32 +195,32 @@
 	return b
 }
 
-// hearAdvice takes in what another gateway tells of endpoints, and as a relay tells it on.
-func (n *node) hearAdvice(told []member.Advice) {
+// handleAdvice takes in what another gateway tells of endpoints, and as a relay tells it on.
+func (n *node) handleAdvice(told []member.Advice) {
 	now := time.Now()
 	if len(n.balancer.Learn(advisory.Unpack(told, now), now)) > 0 && n.table.IsRelay() {
 		n.beater.SendSoon()
 	}
 }
 
-// hearPoison takes in what another gateway tells, and as a relay tells it on.
-func (n *node) hearPoison(data []byte) {
+// handlePoison takes in what another gateway tells, and as a relay tells it on.
+func (n *node) handlePoison(data []byte) {
 	if n.poison.Take(poison.Unpack(data), time.Now()) && n.table.IsRelay() {
 		n.beater.SendSoon()
 	}
 }
 
-func (n *node) set(inFlight map[roster.Life]int, suspects ...roster.Life) {
+func (n *node) setLoad(inFlight map[roster.Life]int, suspects ...roster.Life) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.inFlight, n.suspects = inFlight, suspects
 }
 
-// askRoll asks as the service does, over a network that may be cut.
-func (n *node) askRoll(ctx context.Context, addr string) ([]member.Member, error) {
+// fetchRoll asks as the service does, over a network that may be cut.
+func (n *node) fetchRoll(ctx context.Context, addr string) ([]member.Member, error) {
 	n.fleet.mu.Lock()
 	peer := n.fleet.gateways[addr]
-	cut := peer == nil || (n.fleet.cut != nil && (n.fleet.cut(n.entry.Name, peer.entry.Name) || n.fleet.cut(peer.entry.Name, n.entry.Name)))
+	cut := peer == nil || (n.fleet.blocked != nil && (n.fleet.blocked(n.entry.Name, peer.entry.Name) || n.fleet.blocked(peer.entry.Name, n.entry.Name)))
 	n.fleet.mu.Unlock()
 	time.Sleep(4 * time.Millisecond)
 	if cut {
@@ -235,28 +235,28 @@
 // kill ends gateway i without a word.
 func (f *fleet) kill(i int) {
 	f.mu.Lock()
-	n := f.gateways[peerOf(i)]
-	delete(f.gateways, peerOf(i))
+	n := f.gateways[peerAddr(i)]
+	delete(f.gateways, peerAddr(i))
 	f.mu.Unlock()
-	f.cutOff(n)
-	n.end()
+	f.isolate(n)
+	n.cancel()
 }
 
-// cutOff drops what n still sends.
-func (f *fleet) cutOff(n *node) {
+// isolate drops what n still sends.
+func (f *fleet) isolate(n *node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	before, name := f.cut, n.entry.Name
+	before, name := f.blocked, n.entry.Name
 	dead := n
-	f.cut = func(from, to string) bool {
+	f.blocked = func(from, to string) bool {
 		gone := from == name && f.gateways[dead.entry.Peer] == nil
 		return gone || (before != nil && before(from, to))
 	}
 }
 
-// playFleet runs f with n gateways, which have all started at once and heard each other for
+// runFleet runs f with n gateways, which have all started at once and heard each other for
 // three seconds.
-func playFleet(t *testing.T, n int, f func(f *fleet, nodes []*node)) {
+func runFleet(t *testing.T, n int, f func(f *fleet, nodes []*node)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		w := &fleet{WithT: NewWithT(t), ctx: ctx, random: rand.New(rand.NewPCG(1, 2)),
@@ -275,9 +275,9 @@
 	})
 }
 
-// sizes returns the least and the greatest number of gateways that any of nodes believes
+// sizeRange returns the least and the greatest number of gateways that any of nodes believes
 // alive.
-func sizes(nodes []*node) (least, most int) {
+func sizeRange(nodes []*node) (least, most int) {
 	least = 1 << 20
 	for _, n := range nodes {
 		s := n.table.Size()
@@ -305,8 +305,8 @@
 func TestAllOfAFleetKnowEachOtherSoonAfterAStartOfAll(t *testing.T) {
 	for _, size := range []int{6, 12, 13, 40, 60} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			playFleet(t, size, func(f *fleet, nodes []*node) {
-				least, most := sizes(nodes)
+			runFleet(t, size, func(f *fleet, nodes []*node) {
+				least, most := sizeRange(nodes)
 				f.Expect(least).To(Equal(size))
 				f.Expect(most).To(Equal(size))
 			})
@@ -317,7 +317,7 @@
 // Heartbeats from all to all lost one in twenty: with five a second and four that may be
 // lost in a row nobody was believed dead. Relays must not be worse.
 func TestNobodyIsBelievedDeadForLostDatagrams(t *testing.T) {
-	playFleet(t, 40, func(f *fleet, nodes []*node) {
+	runFleet(t, 40, func(f *fleet, nodes []*node) {
 		believedDead(nodes)
 		f.mu.Lock()
 		f.loss = 0.05
@@ -341,12 +341,12 @@
 		{"a whole zone", []int{0, 5, 10, 15, 20, 25, 30, 35}, 2700 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			playFleet(t, 40, func(f *fleet, nodes []*node) {
+			runFleet(t, 40, func(f *fleet, nodes []*node) {
 				var left []*node
 				dead := map[string]bool{}
 				for _, i := range c.dead {
 					f.kill(i)
-					dead[nameOf(i)] = true
+					dead[gatewayName(i)] = true
 				}
 				for _, n := range nodes {
 					if !dead[n.entry.Name] {
@@ -354,7 +354,7 @@
 					}
 				}
 				time.Sleep(c.within)
-				least, most := sizes(left)
+				least, most := sizeRange(left)
 				f.Expect(most).To(Equal(len(left)))
 				f.Expect(least).To(Equal(len(left)), "and no other")
 				time.Sleep(3 * time.Second)
@@ -371,9 +371,9 @@
 func TestLoadsAreKnownByAllOnce(t *testing.T) {
 	for _, size := range []int{6, 40} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			playFleet(t, size, func(f *fleet, nodes []*node) {
+			runFleet(t, size, func(f *fleet, nodes []*node) {
 				for i, n := range nodes {
-					n.set(map[roster.Life]int{e1: i%5 + 1, {ID: n.entry.Name}: 7})
+					n.setLoad(map[roster.Life]int{e1: i%5 + 1, {ID: n.entry.Name}: 7})
 				}
 				all := 0
 				for i := range size {
@@ -387,9 +387,9 @@
 					f.Expect(n.table.InFlight(roster.Life{ID: "e1", Born: 6})).To(BeZero(), "another life")
 				}
 				for _, n := range nodes {
-					n.set(nil)
+					n.setLoad(nil)
 				}
-				nodes[size-1].set(nil, e1)
+				nodes[size-1].setLoad(nil, e1)
 				time.Sleep(1500 * time.Millisecond)
 				for i, n := range nodes {
 					f.Expect(n.table.InFlight(e1)).To(BeZero())
@@ -403,14 +403,14 @@
 // A relay whose link carries only what it sends hears nobody. It goes on sending digests,
 // of nobody: by them all others of its zone would seem dead and all endpoints idle.
 func TestARelayThatHearsNobodyMisleadsNobody(t *testing.T) {
-	playFleet(t, 40, func(f *fleet, nodes []*node) {
+	runFleet(t, 40, func(f *fleet, nodes []*node) {
 		for _, n := range nodes {
-			n.set(map[roster.Life]int{e1: 1})
+			n.setLoad(map[roster.Life]int{e1: 1})
 		}
 		time.Sleep(1500 * time.Millisecond)
 		believedDead(nodes)
 		f.mu.Lock()
-		f.cut = func(_, to string) bool { return to == nameOf(0) }
+		f.blocked = func(_, to string) bool { return to == gatewayName(0) }
 		f.mu.Unlock()
 		time.Sleep(4 * time.Second)
 		for _, n := range nodes[1:] {
@@ -425,18 +425,18 @@
 // after the cut.
 func TestAZoneThatIsCutOffComesBack(t *testing.T) {
 	zoneOf := func(name string) byte { return (name[3] - '0') % zones }
-	playFleet(t, 40, func(f *fleet, nodes []*node) {
+	runFleet(t, 40, func(f *fleet, nodes []*node) {
 		f.mu.Lock()
-		f.cut = func(from, to string) bool { return (zoneOf(from) == 0) != (zoneOf(to) == 0) }
+		f.blocked = func(from, to string) bool { return (zoneOf(from) == 0) != (zoneOf(to) == 0) }
 		f.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		f.Expect(nodes[0].table.Size()).To(Equal(8))
 		f.Expect(nodes[1].table.Size()).To(Equal(32))
 		f.mu.Lock()
-		f.cut = nil
+		f.blocked = nil
 		f.mu.Unlock()
 		time.Sleep(2500 * time.Millisecond)
-		least, _ := sizes(nodes)
+		least, _ := sizeRange(nodes)
 		f.Expect(least).To(Equal(40))
 	})
 }
@@ -444,7 +444,7 @@
 // Gateways that are killed together start again, and the store that lists the others is
 // away: they know nobody. Who lives tells them.
 func TestWhoStartsWithoutTheStoreIsFound(t *testing.T) {
-	playFleet(t, 40, func(f *fleet, nodes []*node) {
+	runFleet(t, 40, func(f *fleet, nodes []*node) {
 		var all []*node
 		for i, n := range nodes {
 			if i%5 != 0 && i%3 != 0 {
@@ -455,7 +455,7 @@
 		}
 		time.Sleep(4 * time.Second)
 		f.mu.Lock()
-		f.cut = nil
+		f.blocked = nil
 		f.mu.Unlock()
 		for i := range nodes {
 			if i%5 == 0 || i%3 == 0 {
@@ -463,7 +463,7 @@
 			}
 		}
 		time.Sleep(4 * time.Second)
-		least, most := sizes(all)
+		least, most := sizeRange(all)
 		f.Expect(least).To(Equal(40))
 		f.Expect(most).To(Equal(40))
 	})
@@ -472,15 +472,15 @@
 // During an upgrade a gateway of the release before lives beside the others: it sends to
 // all and hears only who sends to it.
 func TestAnOlderProgramIsHeardAndHearsAll(t *testing.T) {
-	playFleet(t, 20, func(f *fleet, nodes []*node) {
+	runFleet(t, 20, func(f *fleet, nodes []*node) {
 		f.kill(7)
 		f.mu.Lock()
-		f.cut = nil
+		f.blocked = nil
 		f.mu.Unlock()
 		older := f.start(7, 2, 20, func(e *member.Entry) { e.Relays = false })
 		nodes[7] = older
 		for _, n := range nodes {
-			n.set(map[roster.Life]int{e1: 1})
+			n.setLoad(map[roster.Life]int{e1: 1})
 		}
 		time.Sleep(3 * time.Second)
 		for _, n := range nodes {
@@ -493,7 +493,7 @@
 // A change of a relay's copy is told to its zone and to the relays of the others; who is no
 // relay takes copies from the relays of its zone.
 func TestRelaysTellOfTheirCopies(t *testing.T) {
-	playFleet(t, 40, func(f *fleet, nodes []*node) {
+	runFleet(t, 40, func(f *fleet, nodes []*node) {
 		for i := range 5 {
 			nodes[i].mu.Lock()
 			nodes[i].copies = 9
@@ -501,7 +501,7 @@
 		}
 		time.Sleep(500 * time.Millisecond)
 		for i, n := range nodes[5:] {
-			f.Expect(n.table.Newer("config", mirror.Version{Revision: 5, Digest: 5})).To(ContainElement(peerOf((i+5)%5)), n.entry.Name)
+			f.Expect(n.table.Newer("config", mirror.Version{Revision: 5, Digest: 5})).To(ContainElement(peerAddr((i+5)%5)), n.entry.Name)
 		}
 	})
 }
@@ -512,9 +512,9 @@
 	perSecond := map[int]traffic{}
 	busiest := map[int]int{}
 	for _, size := range []int{20, 60} {
-		playFleet(t, size, func(f *fleet, nodes []*node) {
+		runFleet(t, size, func(f *fleet, nodes []*node) {
 			for _, n := range nodes {
-				n.set(map[roster.Life]int{e1: 1, {ID: n.entry.Name}: 2})
+				n.setLoad(map[roster.Life]int{e1: 1, {ID: n.entry.Name}: 2})
 			}
 			time.Sleep(3 * time.Second)
 			f.mu.Lock()
@@ -523,9 +523,9 @@
 			time.Sleep(10 * time.Second)
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			last := f.sent[nameOf(size-1)]
+			last := f.sent[gatewayName(size-1)]
 			nodes[size-1].mu.Lock()
-			f.Expect(nodes[size-1].told).To(BeNumerically(">", last.bytes), "all that was sent is counted")
+			f.Expect(nodes[size-1].countedBytes).To(BeNumerically(">", last.bytes), "all that was sent is counted")
 			nodes[size-1].mu.Unlock()
 			perSecond[size] = traffic{datagrams: last.datagrams / 10, bytes: last.bytes / 10}
 			for _, s := range f.sent {
--- a/member/member.go
+++ b/member/member.go
@@ -71,21 +71,21 @@
 	Advice []Advice `json:"advice,omitempty"`
 }
 
-// bare returns b without what it tells of endpoints.
-func (b Heartbeat) bare() Heartbeat {
+// withoutEndpoints returns b without what it tells of endpoints.
+func (b Heartbeat) withoutEndpoints() Heartbeat {
 	b.InFlight, b.Suspects, b.Born = nil, nil, nil
 	return b
 }
 
-// shortened returns b without what seldom changes.
-func (b Heartbeat) shortened() Heartbeat {
+// toBrief returns b without what seldom changes.
+func (b Heartbeat) toBrief() Heartbeat {
 	b.Entry = Entry{Name: b.Entry.Name, Life: b.Entry.Life}
 	b.Copies, b.Brief = nil, true
 	return b
 }
 
-// filled returns a brief heartbeat with what the one before had.
-func (b Heartbeat) filled(before *Heartbeat) Heartbeat {
+// fromBrief returns a brief heartbeat with what the one before had.
+func (b Heartbeat) fromBrief(before *Heartbeat) Heartbeat {
 	b.Entry, b.Copies, b.Brief = before.Entry, before.Copies, false
 	return b
 }
@@ -100,15 +100,15 @@
 	b.InFlight, b.Suspects, b.Born = map[string]int{}, nil, map[string]int64{}
 	for l, n := range inFlight {
 		b.InFlight[l.ID] = n
-		b.noteBorn(l)
+		b.setBorn(l)
 	}
 	for _, l := range suspects {
 		b.Suspects = append(b.Suspects, l.ID)
-		b.noteBorn(l)
+		b.setBorn(l)
 	}
 }
 
-func (b *Heartbeat) noteBorn(l roster.Life) {
+func (b *Heartbeat) setBorn(l roster.Life) {
 	if l.Born != 0 {
 		b.Born[l.ID] = l.Born
 	}
@@ -140,7 +140,7 @@
 	// AliveTime is for how long a gateway counts as alive after its last heartbeat: four
 	// may be lost in a row.
 	AliveTime = 900 * time.Millisecond
-	// minInterval is the shortest time between two heartbeats, also when there is news:
+	// minHeartbeatInterval is the shortest time between two heartbeats, also when there is news:
 	// changes that come together are told together.
-	minInterval = 20 * time.Millisecond
+	minHeartbeatInterval = 20 * time.Millisecond
 )
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -13,9 +13,9 @@
 
 var now = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func at(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
+func afterMS(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 
-func beat(name string, life, sequence uint64, inFlight map[string]int) member.Heartbeat {
+func newHeartbeat(name string, life, sequence uint64, inFlight map[string]int) member.Heartbeat {
 	return member.Heartbeat{
 		Entry: member.Entry{Name: name, Life: life, Peer: name + ":1"}, Sequence: sequence, Ready: true,
 		Copies: map[string]mirror.Version{"config": {Revision: int64(sequence), Digest: sequence}}, InFlight: inFlight,
@@ -35,32 +35,32 @@
 	BeforeEach(func() { t = member.NewTable(member.Entry{Name: "self"}) })
 
 	It("sums what others have in progress, by their newest word", func() {
-		t.Hear(beat("x", 1, 1, map[string]int{"e": 2}), now)
-		t.Hear(beat("y", 1, 1, map[string]int{"e": 1, "f": 1}), now)
+		t.Hear(newHeartbeat("x", 1, 1, map[string]int{"e": 2}), now)
+		t.Hear(newHeartbeat("y", 1, 1, map[string]int{"e": 1, "f": 1}), now)
 		Expect(t.InFlight(roster.Life{ID: "e"})).To(Equal(3))
-		t.Hear(beat("x", 1, 2, map[string]int{"e": 1}), now)
+		t.Hear(newHeartbeat("x", 1, 2, map[string]int{"e": 1}), now)
 		Expect(t.InFlight(roster.Life{ID: "e"})).To(Equal(2))
 	})
 
 	It("ignores heartbeats that are late, its own, and those of nobody", func() {
-		Expect(t.Hear(beat("x", 1, 5, nil), now)).To(BeTrue())
-		Expect(t.Hear(beat("x", 1, 4, nil), now)).To(BeFalse())
-		Expect(t.Hear(beat("x", 2, 1, nil), now)).To(BeTrue(), "a new life begins anew")
-		Expect(t.Hear(beat("self", 1, 1, nil), now)).To(BeFalse())
-		Expect(t.Hear(beat("", 1, 1, nil), now)).To(BeFalse())
+		Expect(t.Hear(newHeartbeat("x", 1, 5, nil), now)).To(BeTrue())
+		Expect(t.Hear(newHeartbeat("x", 1, 4, nil), now)).To(BeFalse())
+		Expect(t.Hear(newHeartbeat("x", 2, 1, nil), now)).To(BeTrue(), "a new life begins anew")
+		Expect(t.Hear(newHeartbeat("self", 1, 1, nil), now)).To(BeFalse())
+		Expect(t.Hear(newHeartbeat("", 1, 1, nil), now)).To(BeFalse())
 	})
 
 	It("forgets the silent, and says so once", func() {
-		t.Hear(beat("x", 1, 1, map[string]int{"e": 2}), now)
-		Expect(t.Expire(at(900))).To(BeEmpty())
-		Expect(t.Expire(at(901))).To(Equal([]string{"x"}))
-		Expect(t.Expire(at(902))).To(BeEmpty())
+		t.Hear(newHeartbeat("x", 1, 1, map[string]int{"e": 2}), now)
+		Expect(t.Expire(afterMS(900))).To(BeEmpty())
+		Expect(t.Expire(afterMS(901))).To(Equal([]string{"x"}))
+		Expect(t.Expire(afterMS(902))).To(BeEmpty())
 		Expect(t.InFlight(roster.Life{ID: "e"})).To(BeZero())
 		Expect(t.Live()).To(BeEmpty())
 	})
 
 	It("counts an entry that is not ready as alive and does not name it", func() {
-		b := beat("x", 1, 1, nil)
+		b := newHeartbeat("x", 1, 1, nil)
 		b.Ready = false
 		t.Hear(b, now)
 		Expect(t.Live()).To(BeEmpty())
@@ -69,29 +69,29 @@
 
 	It("tells those that the store lists and those that it hears", func() {
 		t.Know([]member.Entry{{Name: "self", Peer: "self:1"}, {Name: "x", Peer: "x:1"}})
-		t.Hear(beat("y", 1, 1, nil), now)
+		t.Hear(newHeartbeat("y", 1, 1, nil), now)
 		Expect(t.Others()).To(Equal([]string{"x:1", "y:1"}))
 		Expect(names(t.Live())).To(Equal([]string{"y"}))
 	})
 
 	It("shares with all that are listed or heard, and with nobody knows how many before", func() {
-		t.Hear(beat("y", 1, 1, nil), now)
+		t.Hear(newHeartbeat("y", 1, 1, nil), now)
 		Expect(t.Sharers()).To(BeZero())
 		t.Know([]member.Entry{{Name: "self"}, {Name: "x"}, {Name: "z"}})
 		Expect(t.Sharers()).To(Equal(4))
 	})
 
 	It("knows what others suspect, until they no longer say so", func() {
-		b := beat("x", 1, 1, nil)
+		b := newHeartbeat("x", 1, 1, nil)
 		b.Suspects = []string{"e"}
 		t.Hear(b, now)
 		Expect(t.Suspected(roster.Life{ID: "e"})).To(BeTrue())
 		Expect(t.Suspected(roster.Life{ID: "f"})).To(BeFalse())
-		t.Hear(beat("x", 1, 2, nil), now)
+		t.Hear(newHeartbeat("x", 1, 2, nil), now)
 		Expect(t.Suspected(roster.Life{ID: "e"})).To(BeFalse())
 	})
 	It("counts by the lives of endpoints", func() {
-		b := beat("x", 1, 1, nil)
+		b := newHeartbeat("x", 1, 1, nil)
 		b.SetEndpoints(map[roster.Life]int{{ID: "e", Born: 5}: 3}, []roster.Life{{ID: "f", Born: 5}})
 		t.Hear(b, now)
 		Expect(t.InFlight(roster.Life{ID: "e", Born: 5})).To(Equal(3))
@@ -99,15 +99,15 @@
 		Expect(t.InFlight(roster.Life{ID: "e"})).To(Equal(3), "this gateway was not told")
 		Expect(t.Suspected(roster.Life{ID: "f", Born: 5})).To(BeTrue())
 		Expect(t.Suspected(roster.Life{ID: "f", Born: 6})).To(BeFalse())
-		t.Hear(beat("y", 1, 1, map[string]int{"e": 2}), now)
+		t.Hear(newHeartbeat("y", 1, 1, map[string]int{"e": 2}), now)
 		Expect(t.InFlight(roster.Life{ID: "e", Born: 6})).To(Equal(2), "an older program tells no lives")
-		t.Expire(at(901))
+		t.Expire(afterMS(901))
 		Expect(t.InFlight(roster.Life{ID: "e", Born: 5})).To(BeZero())
 	})
 	It("knows who is ahead", func() {
-		t.Hear(beat("x", 1, 3, nil), now)
-		t.Hear(beat("y", 1, 8, nil), now)
-		t.Hear(beat("z", 1, 9, nil), now)
+		t.Hear(newHeartbeat("x", 1, 3, nil), now)
+		t.Hear(newHeartbeat("y", 1, 8, nil), now)
+		t.Hear(newHeartbeat("z", 1, 9, nil), now)
 		version := func(n int64) mirror.Version { return mirror.Version{Revision: n, Digest: uint64(n)} }
 		Expect(t.Newer("config", version(3))).To(Equal([]string{"y:1", "z:1"}))
 		Expect(t.Newer("config", version(8))).To(Equal([]string{"z:1"}))
@@ -115,18 +115,18 @@
 		Expect(t.Newer("config", mirror.Version{Revision: 8, Digest: 9})).To(BeEmpty(), "the same objects, confirmed later")
 	})
 	It("asks those of its own zone first", func() {
-		far := beat("a", 1, 9, nil)
+		far := newHeartbeat("a", 1, 9, nil)
 		far.Entry.Zone = "elsewhere"
 		t.Hear(far, now)
 		Expect(t.Newer("config", mirror.Version{})).To(Equal([]string{"a:1"}))
-		t.Hear(beat("z", 1, 8, nil), now)
+		t.Hear(newHeartbeat("z", 1, 8, nil), now)
 		Expect(t.Newer("config", mirror.Version{})).To(Equal([]string{"z:1"}))
 	})
 })
 
-// watcher is a heartbeat of an entry that watches the store.
-func watcher(name string, away bool) member.Heartbeat {
-	b := beat(name, 1, 1, nil)
+// watcherHeartbeat is a heartbeat of an entry that watches the store.
+func watcherHeartbeat(name string, away bool) member.Heartbeat {
+	b := newHeartbeat(name, 1, 1, nil)
 	b.Watching, b.Away = true, away
 	return b
 }
@@ -137,14 +137,14 @@
 
 	It("are the first two of a zone", func() {
 		Expect(t.Watching()).To(BeTrue(), "alone")
-		t.Hear(beat("a", 1, 1, nil), now)
-		t.Hear(beat("z", 1, 1, nil), now)
+		t.Hear(newHeartbeat("a", 1, 1, nil), now)
+		t.Hear(newHeartbeat("z", 1, 1, nil), now)
 		Expect(t.Watching()).To(BeTrue())
-		far := beat("c", 1, 1, nil)
+		far := newHeartbeat("c", 1, 1, nil)
 		far.Entry.Zone = "elsewhere"
 		t.Hear(far, now)
 		Expect(t.Watching()).To(BeTrue())
-		t.Hear(beat("b", 1, 1, nil), now)
+		t.Hear(newHeartbeat("b", 1, 1, nil), now)
 		Expect(t.Watching()).To(BeFalse())
 	})
 	It("are six in all, or one in each zone where there are more", func() {
@@ -164,22 +164,22 @@
 	})
 	It("are fewer in a zone where there are many zones, and the next takes the place of one", func() {
 		for _, zone := range []string{"b", "c", "d", "e"} {
-			far := beat("far-"+zone, 1, 1, nil)
+			far := newHeartbeat("far-"+zone, 1, 1, nil)
 			far.Entry.Zone = zone
 			t.Hear(far, now)
 		}
-		t.Hear(watcher("a", false), now)
+		t.Hear(watcherHeartbeat("a", false), now)
 		Expect(t.Watching()).To(BeTrue(), "its zone is the first of five")
-		t.Hear(watcher("b", false), now)
+		t.Hear(watcherHeartbeat("b", false), now)
 		Expect(t.Watching()).To(BeFalse())
 		last := member.NewTable(member.Entry{Name: "m", Zone: "z"})
 		for _, zone := range []string{"a", "b", "c", "d"} {
-			far := beat("far-"+zone, 1, 1, nil)
+			far := newHeartbeat("far-"+zone, 1, 1, nil)
 			far.Entry.Zone = zone
 			last.Hear(far, now)
 		}
 		Expect(last.Watching()).To(BeTrue(), "alone in its zone")
-		near := watcher("k", false)
+		near := watcherHeartbeat("k", false)
 		near.Entry.Zone = "z"
 		last.Hear(near, now)
 		Expect(last.Watching()).To(BeFalse())
@@ -188,25 +188,25 @@
 		Expect(last.Watching()).To(BeTrue(), "the store does not answer the one before")
 	})
 	It("make room for others when the store does not answer them, for a few", func() {
-		t.Hear(watcher("a", false), now)
-		t.Hear(watcher("b", true), now)
+		t.Hear(watcherHeartbeat("a", false), now)
+		t.Hear(watcherHeartbeat("b", true), now)
 		Expect(t.Watching()).To(BeTrue())
 		Expect(t.StoreLost()).To(BeFalse())
-		again := watcher("a", true)
+		again := watcherHeartbeat("a", true)
 		again.Sequence++
 		t.Hear(again, now)
 		Expect(t.StoreLost()).To(BeTrue())
-		t.Hear(watcher("c", true), now)
+		t.Hear(watcherHeartbeat("c", true), now)
 		Expect(t.Watching()).To(BeTrue())
-		t.Hear(watcher("d", true), now)
+		t.Hear(watcherHeartbeat("d", true), now)
 		Expect(t.Watching()).To(BeFalse())
 		Expect(t.Watchers(false)).To(Equal(4))
 	})
 	It("are followed by one that the silent leave behind", func() {
-		t.Hear(watcher("a", false), now)
-		t.Hear(watcher("b", false), now)
+		t.Hear(watcherHeartbeat("a", false), now)
+		t.Hear(watcherHeartbeat("b", false), now)
 		Expect(t.Watching()).To(BeFalse())
-		t.Expire(at(901))
+		t.Expire(afterMS(901))
 		Expect(t.Watching()).To(BeTrue())
 		Expect(t.StoreLost()).To(BeFalse(), "nobody says so")
 	})
--- a/member/news_test.go
+++ b/member/news_test.go
@@ -11,14 +11,14 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// fatal is a request under which endpoints end.
-var fatal = &poison.Request{Method: "POST", URI: "/go", Account: "acme", Body: []byte("fatal")}
+// fatalRequest is a request under which endpoints end.
+var fatalRequest = &poison.Request{Method: "POST", URI: "/go", Account: "acme", Body: []byte("fatal")}
 
-// ends makes an endpoint end under the request at each of three gateways.
-func ends(nodes []*node) {
+// reportFailures makes an endpoint end under the request at each of three gateways.
+func reportFailures(nodes []*node) {
 	for i := range 3 {
 		at := nodes[i*(len(nodes)-1)/2]
-		at.poison.Ended(fatal, roster.Life{ID: fmt.Sprint("e", i)}, time.Now())
+		at.poison.Ended(fatalRequest, roster.Life{ID: fmt.Sprint("e", i)}, time.Now())
 	}
 }
 
@@ -26,15 +26,15 @@
 func quarantinedBy(nodes []*node) int {
 	count := 0
 	for _, n := range nodes {
-		if state, _ := n.poison.Look(fatal); state == poison.Quarantined {
+		if state, _ := n.poison.Look(fatalRequest); state == poison.Quarantined {
 			count++
 		}
 	}
 	return count
 }
 
-// spreads are fleets, and within what time all of one know what one of them tells.
-var spreads = []struct {
+// propagationCases are fleets, and within what time all of one know what one of them tells.
+var propagationCases = []struct {
 	size int
 	loss float64
 	// within is a way of some milliseconds and a wait of 20 ms for each step, of which there
@@ -51,13 +51,13 @@
 // Copies of a request come to many gateways within tens of milliseconds. Each that has not
 // heard of its ends sends it to one endpoint more.
 func TestEndsUnderARequestAreKnownByAllSoon(t *testing.T) {
-	for _, c := range spreads {
+	for _, c := range propagationCases {
 		t.Run(fmt.Sprintf("%d gateways, loss %g", c.size, c.loss), func(t *testing.T) {
-			playFleet(t, c.size, func(f *fleet, nodes []*node) {
+			runFleet(t, c.size, func(f *fleet, nodes []*node) {
 				f.mu.Lock()
 				f.loss = c.loss
 				f.mu.Unlock()
-				ends(nodes)
+				reportFailures(nodes)
 				time.Sleep(c.within)
 				f.Expect(quarantinedBy(nodes)).To(Equal(c.size))
 			})
@@ -69,18 +69,18 @@
 func TestWhoWasCutOffIsToldOfQuarantinedRequests(t *testing.T) {
 	for _, size := range []int{6, 39} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			playFleet(t, size, func(f *fleet, nodes []*node) {
+			runFleet(t, size, func(f *fleet, nodes []*node) {
 				away := nodes[size-1]
 				f.mu.Lock()
-				f.cut = func(from, to string) bool { return from == away.entry.Name || to == away.entry.Name }
+				f.blocked = func(from, to string) bool { return from == away.entry.Name || to == away.entry.Name }
 				f.mu.Unlock()
 				for i := range 3 {
-					nodes[i].poison.Ended(fatal, roster.Life{ID: fmt.Sprint("e", i)}, time.Now())
+					nodes[i].poison.Ended(fatalRequest, roster.Life{ID: fmt.Sprint("e", i)}, time.Now())
 				}
 				time.Sleep(5 * time.Second)
 				f.Expect(quarantinedBy(nodes)).To(Equal(size - 1))
 				f.mu.Lock()
-				f.cut = nil
+				f.blocked = nil
 				f.mu.Unlock()
 				time.Sleep(2500 * time.Millisecond) // of the platform's contact time of 3 s
 				f.Expect(quarantinedBy(nodes)).To(Equal(size))
@@ -90,7 +90,7 @@
 }
 
 func TestNothingIsToldWhileNoEndpointEnds(t *testing.T) {
-	playFleet(t, 6, func(f *fleet, nodes []*node) {
+	runFleet(t, 6, func(f *fleet, nodes []*node) {
 		f.Expect(nodes[0].describe().Poison).To(BeEmpty())
 	})
 }
--- a/member/plan.go
+++ b/member/plan.go
@@ -9,99 +9,99 @@
 	"github.com/silverdeck/silverdeck/mirror"
 )
 
-// parcel is a message and the addresses that get it.
-type parcel struct {
+// outgoing is a message and the addresses that get it.
+type outgoing struct {
 	addrs   []string
 	message message
 }
 
-// sent is what this gateway told last, from which follows what it can leave out.
-type sent struct {
+// sentState is what this gateway told last, from which follows what it can leave out.
+type sentState struct {
 	copies  map[string]mirror.Version
 	member  Member
 	changes uint64
-	// whole is how many more heartbeats tell everything.
-	whole int
+	// fullLeft is how many more heartbeats tell everything.
+	fullLeft int
 }
 
 // plan returns what this gateway sends now. own is its heartbeat.
-func (t *Table) plan(own Heartbeat, now time.Time) []parcel {
+func (t *Table) plan(own Heartbeat, now time.Time) []outgoing {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ready = own.Ready
 	if !t.usesRelays() {
-		return []parcel{{addrs: t.others(), message: message{Heartbeat: &own}}}
+		return []outgoing{{addrs: t.peerAddrs(), message: message{Heartbeat: &own}}}
 	}
 	beat := own
-	if !t.tellsAll(&own) {
-		beat = own.shortened()
+	if !t.needsFull(&own) {
+		beat = own.toBrief()
 	}
 	if t.isRelay() {
 		return t.relayPlan(&own, beat, now)
 	}
-	return []parcel{{addrs: peers(t.zoneRelays(t.self.Zone)), message: message{Heartbeat: &beat}}}
+	return []outgoing{{addrs: addrsOf(t.zoneRelays(t.self.Zone)), message: message{Heartbeat: &beat}}}
 }
 
-// tellsAll returns whether the next heartbeat leaves nothing out: for a few after each
+// needsFull returns whether the next heartbeat leaves nothing out: for a few after each
 // change, and now and then. The caller holds the lock.
-func (t *Table) tellsAll(own *Heartbeat) bool {
-	t.alive()
-	if own.member() != t.sent.member || t.changes != t.sent.changes || !maps.Equal(own.Copies, t.sent.copies) {
-		t.sent = sent{copies: own.Copies, member: own.member(), changes: t.changes, whole: fullAfterNews}
+func (t *Table) needsFull(own *Heartbeat) bool {
+	t.liveMembers()
+	if own.member() != t.lastSent.member || t.changes != t.lastSent.changes || !maps.Equal(own.Copies, t.lastSent.copies) {
+		t.lastSent = sentState{copies: own.Copies, member: own.member(), changes: t.changes, fullLeft: fullHeartbeatsAfterChange}
 	}
-	if t.sent.whole > 0 {
-		t.sent.whole--
+	if t.lastSent.fullLeft > 0 {
+		t.lastSent.fullLeft--
 		return true
 	}
-	return own.Sequence%fullEvery == 0
+	return own.Sequence%fullHeartbeatEvery == 0
 }
 
 // relayPlan returns what a relay sends: to the other relay of its zone its own heartbeat
 // and the digest of everybody, to the zone's others that digest, and to the relays of other
 // zones the digest of its own zone. The caller holds the lock.
-func (t *Table) relayPlan(own *Heartbeat, beat Heartbeat, now time.Time) []parcel {
-	t.log.update(t.told(own), now)
-	roll := t.log.news()
-	withLoads := own.Sequence%loadsEvery == 0
-	zone := t.zoneTotal(own)
-	whole := t.wholeTotal(zone)
-	bare := beat.bare()
-	var out []parcel
-	relays := peers(t.zoneRelays(t.self.Zone))
-	for _, e := range t.everybody() {
+func (t *Table) relayPlan(own *Heartbeat, beat Heartbeat, now time.Time) []outgoing {
+	t.ownRoll.update(t.reportedMembers(own), now)
+	roll := t.ownRoll.summary()
+	withLoads := own.Sequence%digestLoadsEvery == 0
+	zone := t.zoneTotals(own)
+	whole := t.fleetTotals(zone)
+	bare := beat.withoutEndpoints()
+	var out []outgoing
+	relays := addrsOf(t.zoneRelays(t.self.Zone))
+	for _, e := range t.allEntries() {
 		if e.Zone != t.self.Zone {
 			continue
 		}
 		d := &Digest{Roll: roll}
 		if withLoads {
-			d.Loads = whole.without(t.beatOf(e.Name))
+			d.Loads = whole.excluding(t.lastHeartbeat(e.Name))
 		}
 		m := message{Heartbeat: &bare, Digest: d}
 		if len(relays) == 0 || slices.Contains(relays, e.Peer) { // who is alone may be wrong
 			m.Heartbeat = &beat
 		}
-		out = append(out, parcel{addrs: []string{e.Peer}, message: m})
+		out = append(out, outgoing{addrs: []string{e.Peer}, message: m})
 	}
 	d := &Digest{Roll: roll}
 	if withLoads {
-		d.Loads = zone.without(nil)
+		d.Loads = zone.excluding(nil)
 	}
-	out = append(out, parcel{addrs: t.farRelays(), message: message{Heartbeat: &bare, Digest: d}})
-	stranger := own.bare()
-	return append(out, parcel{addrs: t.tried(own.Sequence), message: message{Heartbeat: &stranger, Digest: d}})
+	out = append(out, outgoing{addrs: t.farRelays(), message: message{Heartbeat: &bare, Digest: d}})
+	stranger := own.withoutEndpoints()
+	return append(out, outgoing{addrs: t.probeTargets(own.Sequence), message: message{Heartbeat: &stranger, Digest: d}})
 }
 
-// told returns the members that a relay tells of. The caller holds the lock.
-func (t *Table) told(own *Heartbeat) map[string]Member {
-	out := t.firstHand()
+// reportedMembers returns the members that a relay tells of. The caller holds the lock.
+func (t *Table) reportedMembers(own *Heartbeat) map[string]Member {
+	out := t.directMembers()
 	out[t.self.Name] = own.member()
 	return out
 }
 
-// beatOf returns the last heartbeat of a gateway, or nil. The caller holds the lock.
-func (t *Table) beatOf(name string) *Heartbeat {
+// lastHeartbeat returns the last heartbeat of a gateway, or nil. The caller holds the lock.
+func (t *Table) lastHeartbeat(name string) *Heartbeat {
 	if p := t.direct[name]; p != nil {
-		return &p.beat
+		return &p.heartbeat
 	}
 	return nil
 }
@@ -121,7 +121,7 @@
 // lock.
 func (t *Table) farRelays() []string {
 	zones := map[string][]Member{}
-	for _, m := range t.alive() {
+	for _, m := range t.liveMembers() {
 		if m.Entry.Zone != t.self.Zone {
 			zones[m.Entry.Zone] = append(zones[m.Entry.Zone], m)
 		}
@@ -135,26 +135,26 @@
 	return out
 }
 
-// tried returns the addresses of a few gateways of other zones that are not alive, others
+// probeTargets returns the addresses of a few gateways of other zones that are not alive, others
 // each turn. The caller holds the lock.
-func (t *Table) tried(turn uint64) []string {
+func (t *Table) probeTargets(turn uint64) []string {
 	var silent []Entry
-	for name, e := range t.everybody() {
-		if _, alive := t.alive()[name]; !alive && e.Zone != t.self.Zone {
+	for name, e := range t.allEntries() {
+		if _, alive := t.liveMembers()[name]; !alive && e.Zone != t.self.Zone {
 			silent = append(silent, e)
 		}
 	}
 	slices.SortFunc(silent, func(a, b Entry) int { return cmp.Compare(a.Name, b.Name) })
-	n := min(probes, len(silent))
+	n := min(probesPerHeartbeat, len(silent))
 	out := make([]string, 0, n)
 	for i := range n {
-		at := (turn*probes + uint64(i)) % uint64(len(silent))
+		at := (turn*probesPerHeartbeat + uint64(i)) % uint64(len(silent))
 		out = append(out, silent[at].Peer)
 	}
 	return out
 }
 
-func peers(entries []Entry) []string {
+func addrsOf(entries []Entry) []string {
 	out := make([]string, 0, len(entries))
 	for _, e := range entries {
 		out = append(out, e.Peer)
--- a/member/relay.go
+++ b/member/relay.go
@@ -8,41 +8,41 @@
 // relayState is what a relay told last.
 type relayState struct {
 	heardAt time.Time
-	// firstAt is when it was first heard as a relay.
-	firstAt time.Time
+	// firstHeardAt is when it was first heard as a relay.
+	firstHeardAt time.Time
 	// fresh is set while the relay is alive, settled once all of its zone have had time to
 	// report to it.
 	fresh, settled bool
 	zone           string
 	life           uint64
 	// roll is who is alive by its word; told is the hash that it told last.
-	roll *roll
-	told uint64
-	// askedAt is when it was last asked for its whole roll.
-	askedAt time.Time
-	loads   loads
+	roll         *roll
+	reportedHash uint64
+	// requestedAt is when it was last asked for its whole roll.
+	requestedAt time.Time
+	loads       relayLoads
 }
 
-// loads are Loads as they were read.
-type loads struct {
+// relayLoads are Loads as they were read.
+type relayLoads struct {
 	covers             int
 	inFlight, suspects keyCounts
 }
 
-// hearDigest takes in what the relay of a heartbeat tells of others. The caller holds the
+// applyDigest takes in what the relay of a heartbeat tells of others. The caller holds the
 // lock.
-func (t *Table) hearDigest(from Entry, d *Digest, now time.Time) {
+func (t *Table) applyDigest(from Entry, d *Digest, now time.Time) {
 	r := t.relays[from.Name]
 	if r == nil || r.life != from.Life {
-		r = &relayState{firstAt: now, zone: from.Zone, life: from.Life, roll: newRoll()}
+		r = &relayState{firstHeardAt: now, zone: from.Zone, life: from.Life, roll: newRoll()}
 		t.relays[from.Name] = r
 	}
-	r.heardAt, r.fresh, r.told = now, true, d.Roll.Hash
+	r.heardAt, r.fresh, r.reportedHash = now, true, d.Roll.Hash
 	if r.roll.apply(d.Roll.Changes) {
-		t.forget()
+		t.invalidate()
 	}
 	if d.Loads != nil {
-		r.loads = loads{covers: d.Loads.Covers, inFlight: d.Loads.InFlight.unpack(), suspects: d.Loads.Suspects.unpack()}
+		r.loads = relayLoads{covers: d.Loads.Covers, inFlight: d.Loads.InFlight.unpack(), suspects: d.Loads.Suspects.unpack()}
 	}
 }
 
@@ -53,11 +53,11 @@
 	var out []Entry
 	for name, r := range t.relays {
 		p := t.direct[name]
-		if p == nil || r.told == r.roll.hash || now.Sub(r.askedAt) < askEvery {
+		if p == nil || r.reportedHash == r.roll.hash || now.Sub(r.requestedAt) < rollRequestInterval {
 			continue
 		}
-		r.askedAt = now
-		out = append(out, p.beat.Entry)
+		r.requestedAt = now
+		out = append(out, p.heartbeat.Entry)
 	}
 	return out
 }
@@ -74,15 +74,15 @@
 	for _, m := range members {
 		r.roll.put(m)
 	}
-	t.forget()
+	t.invalidate()
 }
 
 // WholeRoll returns all members of the roll that this gateway tells as a relay.
 func (t *Table) WholeRoll() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make([]Member, 0, len(t.log.members))
-	for _, m := range t.log.members {
+	out := make([]Member, 0, len(t.ownRoll.members))
+	for _, m := range t.ownRoll.members {
 		out = append(out, m)
 	}
 	return out
@@ -92,22 +92,22 @@
 func (t *Table) expireRelays(now time.Time) {
 	for name, r := range t.relays {
 		fresh := now.Sub(r.heardAt) <= AliveTime
-		settled := fresh && now.Sub(r.firstAt) >= settleTime
+		settled := fresh && now.Sub(r.firstHeardAt) >= settleTime
 		if fresh != r.fresh || settled != r.settled {
 			r.fresh, r.settled = fresh, settled
-			t.forget()
+			t.invalidate()
 		}
-		if now.Sub(r.heardAt) > rollTime {
+		if now.Sub(r.heardAt) > rollRetention {
 			delete(t.relays, name)
-			t.forget()
+			t.invalidate()
 		}
 	}
 }
 
-// rolls calls f with the members that each relay that counts told of: those that are
+// forEachRelayed calls f with the members that each relay that counts told of: those that are
 // alive, and those that are silent where no other has told of their zone for long enough.
 // Of the latter none vouches for another. The caller holds the lock.
-func (t *Table) rolls(f func(r *relayState, m Member)) {
+func (t *Table) forEachRelayed(f func(r *relayState, m Member)) {
 	covered := map[string]bool{}
 	for _, r := range t.relays {
 		if r.settled {
@@ -119,50 +119,50 @@
 			continue
 		}
 		for name, m := range r.roll.members {
-			if name != t.self.Name && (r.fresh || !t.silent(name)) {
+			if name != t.self.Name && (r.fresh || !t.isSilentRelay(name)) {
 				f(r, m)
 			}
 		}
 	}
 }
 
-// silent returns whether a gateway told as a relay and does not any more. The caller holds
+// isSilentRelay returns whether a gateway told as a relay and does not any more. The caller holds
 // the lock.
-func (t *Table) silent(name string) bool {
+func (t *Table) isSilentRelay(name string) bool {
 	r := t.relays[name]
 	return r != nil && !r.fresh
 }
 
-// firstHand returns who is alive by what this gateway heard itself: of its own zone by
+// directMembers returns who is alive by what this gateway heard itself: of its own zone by
 // their heartbeats, of others by their relays. Only that is told on, so that no two relays
 // keep a dead gateway alive by each other's word. The caller holds the lock.
-func (t *Table) firstHand() map[string]Member {
+func (t *Table) directMembers() map[string]Member {
 	out := map[string]Member{}
-	t.rolls(func(r *relayState, m Member) {
+	t.forEachRelayed(func(r *relayState, m Member) {
 		if r.zone != t.self.Zone && m.Entry.Zone == r.zone {
 			out[m.Entry.Name] = m
 		}
 	})
 	for name, p := range t.direct {
-		out[name] = p.beat.member()
+		out[name] = p.heartbeat.member()
 	}
 	return out
 }
 
-// alive returns who is alive: by what this gateway heard itself, and by the word of the
+// liveMembers returns who is liveMembers: by what this gateway heard itself, and by the word of the
 // relays of its zone. The caller holds the lock and does not change the result.
-func (t *Table) alive() map[string]Member {
-	if t.members != nil {
-		return t.members
+func (t *Table) liveMembers() map[string]Member {
+	if t.live != nil {
+		return t.live
 	}
-	out := t.firstHand()
-	t.rolls(func(r *relayState, m Member) {
+	out := t.directMembers()
+	t.forEachRelayed(func(r *relayState, m Member) {
 		if _, heard := out[m.Entry.Name]; !heard && r.zone == t.self.Zone {
 			out[m.Entry.Name] = m
 		}
 	})
-	t.members = out
-	t.noteChanges(out)
+	t.live = out
+	t.recordChanges(out)
 	return out
 }
 
@@ -170,7 +170,7 @@
 // The caller holds the lock.
 func (t *Table) zoneMembers(zone string) []Member {
 	var out []Member
-	for _, m := range t.alive() {
+	for _, m := range t.liveMembers() {
 		if m.Entry.Zone == zone {
 			out = append(out, m)
 		}
@@ -199,7 +199,7 @@
 	}
 	older := false
 	for _, p := range t.direct {
-		older = older || !p.beat.Entry.Relays
+		older = older || !p.heartbeat.Entry.Relays
 	}
-	return UsesRelays(len(t.everybody())+1, older)
+	return UsesRelays(len(t.allEntries())+1, older)
 }
--- a/member/roll.go
+++ b/member/roll.go
@@ -48,48 +48,48 @@
 	return news
 }
 
-// rollLog is a roll that a relay tells others of, with what changed of late.
-type rollLog struct {
+// trackedRoll is a roll that a relay tells others of, with what changed of late.
+type trackedRoll struct {
 	roll
-	changes map[string]change
+	changes map[string]timedChange
 }
 
-// change is a member's last change.
-type change struct {
+// timedChange is a member's last timedChange.
+type timedChange struct {
 	Change
 	at time.Time
 }
 
-func newRollLog() *rollLog {
-	return &rollLog{roll: *newRoll(), changes: map[string]change{}}
+func newTrackedRoll() *trackedRoll {
+	return &trackedRoll{roll: *newRoll(), changes: map[string]timedChange{}}
 }
 
 // update makes members the roll.
-func (l *rollLog) update(members map[string]Member, now time.Time) {
+func (l *trackedRoll) update(members map[string]Member, now time.Time) {
 	for name, old := range l.members {
 		if _, still := members[name]; !still {
 			l.remove(name)
 			gone := Member{Entry: Entry{Name: name, Life: old.Entry.Life}}
-			l.changes[name] = change{Change: Change{Member: gone, Gone: true}, at: now}
+			l.changes[name] = timedChange{Change: Change{Member: gone, Gone: true}, at: now}
 		}
 	}
 	for name, m := range members {
 		if l.put(m) {
-			l.changes[name] = change{Change: Change{Member: m}, at: now}
+			l.changes[name] = timedChange{Change: Change{Member: m}, at: now}
 		}
 	}
 	for name, c := range l.changes {
-		if now.Sub(c.at) >= changeTime {
+		if now.Sub(c.at) >= changeRetention {
 			delete(l.changes, name)
 		}
 	}
 }
 
-// news returns what is told of the roll: no changes where they are too many, since who
+// summary returns what is told of the roll: no changes where they are too many, since who
 // sees another hash asks for all of it.
-func (l *rollLog) news() Roll {
+func (l *trackedRoll) summary() Roll {
 	out := Roll{Hash: l.hash}
-	if len(l.changes) > maxChanges {
+	if len(l.changes) > maxDigestChanges {
 		return out
 	}
 	for _, c := range l.changes {
--- a/member/sums.go
+++ b/member/sums.go
@@ -2,38 +2,38 @@
 
 import "github.com/silverdeck/silverdeck/roster"
 
-// sums are what all other gateways told of endpoints, as far as this one knows: its own
+// loadView are what all other gateways told of endpoints, as far as this one knows: its own
 // view, or that of a relay of its zone, whichever covers more gateways. They are not mixed,
 // since each is whole.
-type sums struct {
+type loadView struct {
 	covers int
 	// direct is set for the own view: then what was heard directly is counted as well.
 	direct bool
-	far    []*loads
+	remote []*relayLoads
 }
 
-// best returns the sums to go by. A relay that hears nobody itself, as behind a cut of one
+// bestView returns the sums to go by. A relay that hears nobody itself, as behind a cut of one
 // direction, covers few, and the other one's are taken. The caller holds the lock.
-func (t *Table) best() sums {
+func (t *Table) bestView() loadView {
 	own := t.ownView()
 	var relay *relayState
 	for _, r := range t.relays {
 		if !r.fresh || r.zone != t.self.Zone || r.loads.covers <= own.covers {
 			continue
 		}
-		if relay == nil || better(r, relay) {
+		if relay == nil || preferred(r, relay) {
 			relay = r
 		}
 	}
 	if relay == nil {
 		return own
 	}
-	return sums{covers: relay.loads.covers, far: []*loads{&relay.loads}}
+	return loadView{covers: relay.loads.covers, remote: []*relayLoads{&relay.loads}}
 }
 
-// better returns whether the loads that relay r told are to be gone by rather than those
+// preferred returns whether the loads that relay r told are to be gone by rather than those
 // of s: that cover more gateways, or are newer.
-func better(r, s *relayState) bool {
+func preferred(r, s *relayState) bool {
 	if r.loads.covers != s.loads.covers {
 		return r.loads.covers > s.loads.covers
 	}
@@ -42,25 +42,25 @@
 
 // ownView returns the sums of what this gateway heard itself: heartbeats, and for each
 // other zone the loads of one of its relays. The caller holds the lock.
-func (t *Table) ownView() sums {
-	out := sums{direct: true}
+func (t *Table) ownView() loadView {
+	out := loadView{direct: true}
 	zones := map[string]*relayState{}
 	for _, r := range t.relays {
 		if r.zone == t.self.Zone || !r.fresh || r.loads.covers == 0 {
 			continue
 		}
-		if known := zones[r.zone]; known == nil || better(r, known) {
+		if known := zones[r.zone]; known == nil || preferred(r, known) {
 			zones[r.zone] = r
 		}
 	}
 	for _, p := range t.direct {
-		if zones[p.beat.Entry.Zone] == nil {
+		if zones[p.heartbeat.Entry.Zone] == nil {
 			out.covers++
 		}
 	}
 	for _, r := range zones {
 		out.covers += r.loads.covers
-		out.far = append(out.far, &r.loads)
+		out.remote = append(out.remote, &r.loads)
 	}
 	return out
 }
@@ -69,12 +69,12 @@
 func (t *Table) Suspected(l roster.Life) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.currentSums()
-	if s.direct && t.suspects.of(l) > 0 {
+	s := t.currentView()
+	if s.direct && t.suspects.get(l) > 0 {
 		return true
 	}
-	for _, f := range s.far {
-		if f.suspects.of(l) > 0 {
+	for _, f := range s.remote {
+		if f.suspects.get(l) > 0 {
 			return true
 		}
 	}
@@ -85,77 +85,77 @@
 func (t *Table) InFlight(l roster.Life) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.currentSums()
+	s := t.currentView()
 	n := 0
 	if s.direct {
-		n = t.inFlight.of(l)
+		n = t.inFlight.get(l)
 	}
-	for _, f := range s.far {
-		n += f.inFlight.of(l)
+	for _, f := range s.remote {
+		n += f.inFlight.get(l)
 	}
 	return n
 }
 
-// currentSums returns the sums to go by, which are worked out once after each heartbeat.
+// currentView returns the sums to go by, which are worked out once after each heartbeat.
 // The caller holds the lock.
-func (t *Table) currentSums() *sums {
-	if t.sums == nil {
-		s := t.best()
-		t.sums = &s
+func (t *Table) currentView() *loadView {
+	if t.view == nil {
+		s := t.bestView()
+		t.view = &s
 	}
-	return t.sums
+	return t.view
 }
 
-// total is what a relay tells others of endpoints.
-type total struct {
+// loadTotals is what a relay tells others of endpoints.
+type loadTotals struct {
 	covers             int
 	inFlight, suspects keyCounts
 }
 
-// zoneTotal returns the sums of the gateways of this zone, this one among them, whose
+// zoneTotals returns the sums of the gateways of this zone, this one among them, whose
 // heartbeat is own. The caller holds the lock.
-func (t *Table) zoneTotal(own *Heartbeat) total {
-	out := total{covers: 1, inFlight: keyCounts{}, suspects: keyCounts{}}
+func (t *Table) zoneTotals(own *Heartbeat) loadTotals {
+	out := loadTotals{covers: 1, inFlight: keyCounts{}, suspects: keyCounts{}}
 	ownCounts, ownSuspects := counts{}, counts{}
 	own.countInto(ownCounts, ownSuspects, 1)
-	out.inFlight.addLives(ownCounts, 1)
-	out.suspects.addLives(ownSuspects, 1)
+	out.inFlight.addCounts(ownCounts, 1)
+	out.suspects.addCounts(ownSuspects, 1)
 	for _, p := range t.direct {
-		if p.beat.Entry.Zone == t.self.Zone {
+		if p.heartbeat.Entry.Zone == t.self.Zone {
 			out.covers++
 		}
 	}
-	out.inFlight.addLives(t.inFlight, 1)
-	out.suspects.addLives(t.suspects, 1)
+	out.inFlight.addCounts(t.inFlight, 1)
+	out.suspects.addCounts(t.suspects, 1)
 	return out
 }
 
-// wholeTotal returns the sums of all gateways, as far as this one heard itself. The caller
+// fleetTotals returns the sums of all gateways, as far as this one heard itself. The caller
 // holds the lock.
-func (t *Table) wholeTotal(zone total) total {
+func (t *Table) fleetTotals(zone loadTotals) loadTotals {
 	far := t.ownView()
-	out := total{covers: far.covers + 1, inFlight: keyCounts{}, suspects: keyCounts{}}
+	out := loadTotals{covers: far.covers + 1, inFlight: keyCounts{}, suspects: keyCounts{}}
 	out.inFlight.add(zone.inFlight)
 	out.suspects.add(zone.suspects)
-	for _, f := range far.far {
+	for _, f := range far.remote {
 		out.inFlight.add(f.inFlight)
 		out.suspects.add(f.suspects)
 	}
 	return out
 }
 
-// without returns the sums for a gateway, without what it told itself; b is its heartbeat,
+// excluding returns the sums for a gateway, excluding what it told itself; b is its heartbeat,
 // nil if there was none.
-func (s total) without(b *Heartbeat) *Loads {
+func (s loadTotals) excluding(b *Heartbeat) *Loads {
 	if b == nil {
 		return &Loads{Covers: s.covers, InFlight: s.inFlight.pack(), Suspects: s.suspects.pack()}
 	}
 	inFlight, suspects := counts{}, counts{}
 	b.countInto(inFlight, suspects, 1)
-	out := total{inFlight: keyCounts{}, suspects: keyCounts{}}
+	out := loadTotals{inFlight: keyCounts{}, suspects: keyCounts{}}
 	out.inFlight.add(s.inFlight)
-	out.inFlight.addLives(inFlight, -1)
+	out.inFlight.addCounts(inFlight, -1)
 	out.suspects.add(s.suspects)
-	out.suspects.addLives(suspects, -1)
+	out.suspects.addCounts(suspects, -1)
 	return &Loads{Covers: s.covers - 1, InFlight: out.inFlight.pack(), Suspects: out.suspects.pack()}
 }
--- a/member/table.go
+++ b/member/table.go
@@ -9,18 +9,18 @@
 
 // peerState is what another gateway told last.
 type peerState struct {
-	beat    Heartbeat
-	heardAt time.Time
+	heartbeat Heartbeat
+	heardAt   time.Time
 }
 
 // Table is what a gateway knows of the others. It is safe for concurrent use.
 type Table struct {
 	self Entry
 
-	mu    sync.Mutex
-	known map[string]Entry
-	// listed is set once the store's list was read, selfListed if this gateway stood in it.
-	listed, selfListed bool
+	mu            sync.Mutex
+	listedEntries map[string]Entry
+	// listLoaded is set once the store's list was read, selfListed if this gateway stood in it.
+	listLoaded, selfListed bool
 	// direct is what other gateways told themselves, by name.
 	direct map[string]*peerState
 	// inFlight sums their requests in progress by endpoint, suspects counts those of them
@@ -28,37 +28,37 @@
 	inFlight, suspects counts
 	// relays is what relays told of others, by the relay's name; see relay.go.
 	relays map[string]*relayState
-	// members are all that are alive, by name, nil when they are to be worked out anew;
+	// live are all that are alive, by name, nil when they are to be worked out anew;
 	// see alive. sums are what they told of endpoints, likewise; see currentSums.
-	members map[string]Member
-	sums    *sums
-	// all are the members and all others that are known of, nil when they are to be worked
+	live map[string]Member
+	view *loadView
+	// entries are the members and entries others that are known of, nil when they are to be worked
 	// out anew; see everybody.
-	all map[string]Entry
+	entries map[string]Entry
 	// reported are the members of which Arrived and Expire have told, or are to tell:
 	// arrived and lost.
-	reported      map[string]bool
-	arrived, lost []string
+	reported     map[string]bool
+	joined, lost []string
 	// changes counts how often the members changed.
 	changes uint64
-	// log is the roll that this gateway tells as a relay.
-	log *rollLog
-	// sent is what this gateway told last; see plan.
-	sent  sent
-	ready bool
+	// ownRoll is the roll that this gateway tells as a relay.
+	ownRoll *trackedRoll
+	// lastSent is what this gateway told last; see plan.
+	lastSent sentState
+	ready    bool
 }
 
 // NewTable returns the table of self.
 func NewTable(self Entry) *Table {
 	return &Table{
-		self:     self,
-		known:    map[string]Entry{},
-		direct:   map[string]*peerState{},
-		inFlight: counts{},
-		suspects: counts{},
-		relays:   map[string]*relayState{},
-		reported: map[string]bool{},
-		log:      newRollLog(),
+		self:          self,
+		listedEntries: map[string]Entry{},
+		direct:        map[string]*peerState{},
+		inFlight:      counts{},
+		suspects:      counts{},
+		relays:        map[string]*relayState{},
+		reported:      map[string]bool{},
+		ownRoll:       newTrackedRoll(),
 	}
 }
 
@@ -66,66 +66,66 @@
 func (t *Table) Know(entries []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.known = map[string]Entry{}
-	t.listed, t.selfListed = true, false
-	t.forget()
+	t.listedEntries = map[string]Entry{}
+	t.listLoaded, t.selfListed = true, false
+	t.invalidate()
 	for _, e := range entries {
 		if e.Name == t.self.Name {
 			t.selfListed = true
 			continue
 		}
-		t.known[e.Name] = e
+		t.listedEntries[e.Name] = e
 	}
 }
 
-// forget makes what follows from who is known and alive be worked out anew. The caller holds
+// invalidate makes what follows from who is known and alive be worked out anew. The caller holds
 // the lock.
-func (t *Table) forget() {
-	t.members, t.all = nil, nil
+func (t *Table) invalidate() {
+	t.live, t.entries = nil, nil
 }
 
 // Hear takes in a heartbeat and returns whether it is new.
 func (t *Table) Hear(b Heartbeat, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.hear(b, now)
+	return t.record(b, now)
 }
 
 // HearRelay takes in a relay's heartbeat with its digest, and returns whether they are new.
 func (t *Table) HearRelay(b Heartbeat, d Digest, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.hear(b, now) {
+	if !t.record(b, now) {
 		return false
 	}
-	t.hearDigest(t.direct[b.Entry.Name].beat.Entry, &d, now)
+	t.applyDigest(t.direct[b.Entry.Name].heartbeat.Entry, &d, now)
 	return true
 }
 
-func (t *Table) hear(b Heartbeat, now time.Time) bool {
+func (t *Table) record(b Heartbeat, now time.Time) bool {
 	if b.Entry.Name == t.self.Name || b.Entry.Name == "" {
 		return false
 	}
 	old := t.direct[b.Entry.Name]
-	sameLife := old != nil && old.beat.Entry.Life == b.Entry.Life
-	if sameLife && old.beat.Sequence >= b.Sequence {
+	sameLife := old != nil && old.heartbeat.Entry.Life == b.Entry.Life
+	if sameLife && old.heartbeat.Sequence >= b.Sequence {
 		return false
 	}
 	if b.Brief {
 		if !sameLife {
 			return false // the next one that is whole comes within a second
 		}
-		b = b.filled(&old.beat)
+		b = b.fromBrief(&old.heartbeat)
 	}
-	if old == nil || old.beat.member() != b.member() {
-		t.forget()
+	if old == nil || old.heartbeat.member() != b.member() {
+		t.invalidate()
 	}
 	if old != nil {
-		old.beat.countInto(t.inFlight, t.suspects, -1)
+		old.heartbeat.countInto(t.inFlight, t.suspects, -1)
 	}
 	b.countInto(t.inFlight, t.suspects, 1)
-	t.direct[b.Entry.Name] = &peerState{beat: b, heardAt: now}
-	t.sums = nil
+	t.direct[b.Entry.Name] = &peerState{heartbeat: b, heardAt: now}
+	t.view = nil
 	return true
 }
 
@@ -138,13 +138,13 @@
 		if now.Sub(p.heardAt) <= AliveTime {
 			continue
 		}
-		p.beat.countInto(t.inFlight, t.suspects, -1)
+		p.heartbeat.countInto(t.inFlight, t.suspects, -1)
 		delete(t.direct, name)
-		t.forget()
+		t.invalidate()
 	}
 	t.expireRelays(now)
-	t.sums = nil
-	t.alive()
+	t.view = nil
+	t.liveMembers()
 	dead := t.lost
 	t.lost = nil
 	slices.Sort(dead)
@@ -155,19 +155,19 @@
 func (t *Table) Arrived() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.alive()
-	out := t.arrived
-	t.arrived = nil
+	t.liveMembers()
+	out := t.joined
+	t.joined = nil
 	return out
 }
 
-// noteChanges notes who has come and gone. The caller holds the lock.
-func (t *Table) noteChanges(members map[string]Member) {
+// recordChanges notes who has come and gone. The caller holds the lock.
+func (t *Table) recordChanges(members map[string]Member) {
 	t.changes++
 	for name := range members {
 		if !t.reported[name] {
 			t.reported[name] = true
-			t.arrived = append(t.arrived, name)
+			t.joined = append(t.joined, name)
 		}
 	}
 	for name := range t.reported {
@@ -183,7 +183,7 @@
 func (t *Table) Changes() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.alive()
+	t.liveMembers()
 	return t.changes
 }
 
@@ -202,7 +202,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Entry
-	for _, m := range t.alive() {
+	for _, m := range t.liveMembers() {
 		if m.Ready {
 			out = append(out, m.Entry)
 		}
@@ -216,33 +216,33 @@
 func (t *Table) Others() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.others()
+	return t.peerAddrs()
 }
 
-func (t *Table) others() []string {
+func (t *Table) peerAddrs() []string {
 	var out []string
-	for _, e := range t.everybody() {
+	for _, e := range t.allEntries() {
 		out = append(out, e.Peer)
 	}
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// everybody returns all gateways that the store lists, those that any relay tells of and
+// allEntries returns all gateways that the store lists, those that any relay tells of and
 // those that are alive, by name. The caller holds the lock and does not change the result.
-func (t *Table) everybody() map[string]Entry {
-	if t.all != nil {
-		return t.all
+func (t *Table) allEntries() map[string]Entry {
+	if t.entries != nil {
+		return t.entries
 	}
-	out := make(map[string]Entry, len(t.known))
-	for name, e := range t.known {
+	out := make(map[string]Entry, len(t.listedEntries))
+	for name, e := range t.listedEntries {
 		out[name] = e
 	}
-	t.rolls(func(_ *relayState, m Member) { out[m.Entry.Name] = m.Entry })
-	for name, m := range t.alive() {
+	t.forEachRelayed(func(_ *relayState, m Member) { out[m.Entry.Name] = m.Entry })
+	for name, m := range t.liveMembers() {
 		out[name] = m.Entry
 	}
-	t.all = out
+	t.entries = out
 	return out
 }
 
@@ -251,15 +251,15 @@
 func (t *Table) Sharers() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.listed {
+	if !t.listLoaded {
 		return 0
 	}
-	return len(t.everybody()) + 1
+	return len(t.allEntries()) + 1
 }
 
 // Size returns how many gateways are alive, with this one.
 func (t *Table) Size() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.alive()) + 1
+	return len(t.liveMembers()) + 1
 }
--- a/member/watch.go
+++ b/member/watch.go
@@ -9,24 +9,24 @@
 
 // Who watches the store.
 const (
-	// watchersInZone is how many gateways of a zone watch the store for all of it, of those
+	// watchersPerZone is how many gateways of a zone watch the store for all of it, of those
 	// that it answers: one may die.
-	watchersInZone = 2
-	// watchersInAll is how many do in all zones, unless there are more zones: where the
+	watchersPerZone = 2
+	// watchersTotal is how many do in all zones, unless there are more zones: where the
 	// store turns a third of the VMs away without a word, all of six are among them in one
 	// case of a thousand. With two in each of five zones the store's calls grew with zones
 	// and not with what must be survived (docs/LARGE.md).
-	watchersInAll = 6
-	// maxTrying is how many try to while the store answers none of them, so that an outage
+	watchersTotal = 6
+	// maxUnansweredWatchers is how many try to while the store answers none of them, so that an outage
 	// does not make all of them call.
-	maxTrying = 4
+	maxUnansweredWatchers = 4
 )
 
 // WatchersOfZone returns how many gateways of a zone watch the store for it. zones is how many
 // zones there are, and place that of the zone among them by name, 0 first.
 func WatchersOfZone(zones, place int) int {
-	if place < watchersInAll-zones {
-		return watchersInZone
+	if place < watchersTotal-zones {
+		return watchersPerZone
 	}
 	return 1
 }
@@ -35,7 +35,7 @@
 // before is how many gateways of the zone come before it by name, answered how many of
 // these the store answers.
 func Watches(before, answered, watchers int) bool {
-	return answered < watchers && before < maxTrying
+	return answered < watchers && before < maxUnansweredWatchers
 }
 
 // watchers returns how many gateways of this zone watch the store, where all that there are
@@ -59,7 +59,7 @@
 	defer t.mu.Unlock()
 	before, answered := 0, 0
 	zones := map[string]bool{}
-	for name, m := range t.alive() {
+	for name, m := range t.liveMembers() {
 		zones[m.Entry.Zone] = true
 		if m.Entry.Zone != t.self.Zone || name > t.self.Name {
 			continue
@@ -80,7 +80,7 @@
 	defer t.mu.Unlock()
 	before := 0
 	zones := map[string]bool{}
-	for name, e := range t.known {
+	for name, e := range t.listedEntries {
 		zones[e.Zone] = true
 		if e.Zone == t.self.Zone && name < t.self.Name {
 			before++
@@ -98,7 +98,7 @@
 	if watching {
 		n++
 	}
-	for _, m := range t.alive() {
+	for _, m := range t.liveMembers() {
 		if m.Watching {
 			n++
 		}
@@ -112,7 +112,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	lost := false
-	for _, m := range t.alive() {
+	for _, m := range t.liveMembers() {
 		if !m.Watching {
 			continue
 		}
@@ -134,11 +134,11 @@
 	var near, far []string
 	for _, p := range t.direct {
 		switch {
-		case !p.beat.Copies[kind].NewerThan(mine):
-		case p.beat.Entry.Zone == t.self.Zone:
-			near = append(near, p.beat.Entry.Peer)
+		case !p.heartbeat.Copies[kind].NewerThan(mine):
+		case p.heartbeat.Entry.Zone == t.self.Zone:
+			near = append(near, p.heartbeat.Entry.Peer)
 		default:
-			far = append(far, p.beat.Entry.Peer)
+			far = append(far, p.heartbeat.Entry.Peer)
 		}
 	}
 	slices.SortFunc(near, cmp.Compare[string])
--- a/member/wire.go
+++ b/member/wire.go
@@ -14,9 +14,9 @@
 // maxDatagram bounds a heartbeat, in bytes: the largest datagram of UDP.
 const maxDatagram = 64 << 10
 
-// rollLimit bounds a question for a whole roll, some tens of kilobytes: a link between
+// rollRequestTimeout bounds a question for a whole roll, some tens of kilobytes: a link between
 // regions may be full.
-const rollLimit = time.Second
+const rollRequestTimeout = time.Second
 
 // message is one datagram: a heartbeat, with a relay's also its digest, or a notice.
 type message struct {
@@ -74,8 +74,8 @@
 	conn     net.PacketConn
 	table    *Table
 	handlers Handlers
-	// soon asks for a heartbeat ahead of time.
-	soon chan struct{}
+	// trigger asks for a heartbeat ahead of time.
+	trigger chan struct{}
 }
 
 // NewBeater returns a Beater on conn.
@@ -89,13 +89,13 @@
 	if h.Advice == nil {
 		h.Advice = func([]Advice) {}
 	}
-	return &Beater{conn: conn, table: table, handlers: h, soon: make(chan struct{}, 1)}
+	return &Beater{conn: conn, table: table, handlers: h, trigger: make(chan struct{}, 1)}
 }
 
 // SendSoon makes the next heartbeat come at once.
 func (b *Beater) SendSoon() {
 	select {
-	case b.soon <- struct{}{}:
+	case b.trigger <- struct{}{}:
 	default: // one is asked for already
 	}
 }
@@ -147,8 +147,8 @@
 			b.send(sequence + 1)
 			return
 		case <-ticker.C:
-		case <-b.soon:
-			wait.For(ctx, minInterval)
+		case <-b.trigger:
+			wait.For(ctx, minHeartbeatInterval)
 		}
 	}
 }
@@ -180,33 +180,33 @@
 		}
 		switch {
 		case m.Heartbeat != nil:
-			b.hear(ctx, &m)
+			b.handleHeartbeat(ctx, &m)
 		case m.Notice != nil:
 			b.handlers.Notice(*m.Notice)
 		}
 	}
 }
 
-// hear takes in a heartbeat, and what a relay sends with it.
-func (b *Beater) hear(ctx context.Context, m *message) {
+// handleHeartbeat takes in a heartbeat, and what a relay sends with it.
+func (b *Beater) handleHeartbeat(ctx context.Context, m *message) {
 	now := time.Now()
 	if m.Digest == nil {
 		if b.table.Hear(*m.Heartbeat, now) {
-			b.heard(m.Heartbeat)
+			b.dispatch(m.Heartbeat)
 		}
 		return
 	}
 	if !b.table.HearRelay(*m.Heartbeat, *m.Digest, now) {
 		return
 	}
-	b.heard(m.Heartbeat)
+	b.dispatch(m.Heartbeat)
 	for _, relay := range b.table.Behind(now) {
-		go b.askRoll(ctx, relay)
+		go b.fetchRoll(ctx, relay)
 	}
 }
 
-// heard hands a new heartbeat on.
-func (b *Beater) heard(beat *Heartbeat) {
+// dispatch hands a new heartbeat on.
+func (b *Beater) dispatch(beat *Heartbeat) {
 	if len(beat.Poison) > 0 {
 		b.handlers.Poison(beat.Poison)
 	}
@@ -216,10 +216,10 @@
 	b.handlers.Heard()
 }
 
-// askRoll takes the whole roll of a relay. Where that fails, it is asked for again with a
+// fetchRoll takes the whole roll of a relay. Where that fails, it is asked for again with a
 // later digest.
-func (b *Beater) askRoll(ctx context.Context, relay Entry) {
-	ctx, cancel := context.WithTimeout(ctx, rollLimit)
+func (b *Beater) fetchRoll(ctx context.Context, relay Entry) {
+	ctx, cancel := context.WithTimeout(ctx, rollRequestTimeout)
 	defer cancel()
 	members, err := b.handlers.AskRoll(ctx, relay.Peer)
 	if err != nil {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -106,7 +106,7 @@
 mutant "relays tell on what they were told" member/relay.go 's/r.zone != t.self.Zone && m.Entry.Zone == r.zone/true/' ./member 'TestAZoneThatIsCutOff|TestADeadGateway'
 mutant "a deaf relay is believed" member/sums.go 's/r.loads.covers <= own.covers/false/; s/r.loads.covers != s.loads.covers/false/' ./member 'TestARelayThatHearsNobody'
 mutant "a new relay counts at once" member/relay.go 's/fresh && now.Sub\(r.firstAt\) >= settleTime/fresh/' ./member 'TestADeadGateway'
-mutant "who is silent is not tried" member/plan.go 's/t.tried\(own.Sequence\)/nil/' ./member 'TestWhoStartsWithoutTheStore'
+mutant "who is silent is not.probeTargets" member/plan.go 's/t.tried\(own.Sequence\)/nil/' ./member 'TestWhoStartsWithoutTheStore'
 mutant "other regions do not wait for the first copy" swarm/schedule.go 's/s.originAt\[c\] = s.due\[c\].Add\(oneCopy\)/_ = oneCopy/' ./swarm 'TestAfterAnOutage'
 mutant "turns do not begin anew" swarm/schedule.go 's/s.from = time.Now\(\)/_ = time.Now()/' ./swarm 'TestAfterAnOutage'
 mutant "a replaced version is left half way" sidecar/stage/fetch.go 's/go s.bringFirstCopies\(whole, model, want.version\)/_ = whole/' ./sidecar/stage 'TestFirstCopiesOfAVersion'
