--- a/compat/json_test.go
+++ b/compat/json_test.go
@@ -127,11 +127,11 @@
 	conn := listen(t)
 	receiver := listen(t)
 	table := member.NewTable(self)
-	table.Know([]member.Entry{{Name: "other", Peer: receiver.LocalAddr().String()}})
-	beater := member.NewBeater(conn, table, member.Handlers{
-		Describe: func() member.Heartbeat { return *beat },
-		After:    func([]string) {},
-		Log:      log.New(io.Discard),
+	table.SetListed([]member.Entry{{Name: "other", Peer: receiver.LocalAddr().String()}})
+	beater := member.NewHeartbeater(conn, table, member.Handlers{
+		NextHeartbeat: func() member.Heartbeat { return *beat },
+		AfterRound:    func([]string) {},
+		Log:           log.New(io.Discard),
 	})
 	go beater.Run(t.Context())
 	heartbeat := receive(t, receiver)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -62,7 +62,7 @@
 	mirrors   map[string]*mirror.Mirror
 	syncer    *replica.Syncer
 	table     *member.Table
-	beater    *member.Beater
+	beater    *member.Heartbeater
 	self      member.Entry
 	endpoints *endpoints.List
 	versions  *versions.History
@@ -176,7 +176,7 @@
 		Headers:      platform.HeaderNames(),
 		Balancer:     g.balancer,
 		Client:       g.client,
-		Budget:       proxy.NewBudget(g.cfg.RetryShare, g.cfg.RetryExtra, g.cfg.RetryWindow, g.table.Sharers),
+		Budget:       proxy.NewBudget(g.cfg.RetryShare, g.cfg.RetryExtra, g.cfg.RetryWindow, g.table.KnownSize),
 		Metrics:      proxy.NewMetrics(g.registry),
 		Log:          g.log,
 		MinVersion:   g.minVersion,
--- a/gateway/learn.go
+++ b/gateway/learn.go
@@ -97,6 +97,6 @@
 		}
 		entries = append(entries, *entry)
 	}
-	g.table.Know(entries)
+	g.table.SetListed(entries)
 	g.syncer.Elect(time.Now())
 }
--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -44,18 +44,18 @@
 	if err := g.listen(); err != nil {
 		return err
 	}
-	g.beater = member.NewBeater(conn, g.table, member.Handlers{
-		Describe: g.heartbeat,
-		After:    g.afterHeartbeat,
-		Notice:   g.useNotice,
-		Poison:   g.usePoison,
-		Advice:   g.useAdvice,
-		Sent:     NewSentCounters(g.registry).Count,
-		AskRoll: func(ctx context.Context, addr string) ([]member.Member, error) {
-			return member.AskRoll(ctx, g.peers, addr, g.self.Name)
+	g.beater = member.NewHeartbeater(conn, g.table, member.Handlers{
+		NextHeartbeat: g.heartbeat,
+		AfterRound:    g.afterHeartbeat,
+		OnNotice:      g.useNotice,
+		OnPoison:      g.usePoison,
+		OnAdvice:      g.useAdvice,
+		OnSent:        NewSentCounters(g.registry).Count,
+		FetchRoll: func(ctx context.Context, addr string) ([]member.Member, error) {
+			return member.FetchRoll(ctx, g.peers, addr, g.self.Name)
 		},
-		Heard: func() { g.afterOther(ctx) },
-		Log:   g.log,
+		OnHeartbeat: func() { g.afterOther(ctx) },
+		Log:         g.log,
 	})
 	go g.beater.Run(ctx)
 	go g.syncer.Run(ctx)
--- a/gateway/replica/syncer.go
+++ b/gateway/replica/syncer.go
@@ -97,7 +97,7 @@
 // Elect decides whether this gateway watches the store.
 func (s *Syncer) Elect(now time.Time) {
 	settled := now.Sub(s.began) >= settleTime
-	watching := Elects(settled, s.table.Watching(), s.table.FirstListed())
+	watching := Elects(settled, s.table.ShouldWatch(), s.table.FirstListed())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if watching != s.watching {
@@ -147,7 +147,7 @@
 // asks for newer ones.
 func (s *Syncer) Follow(ctx context.Context, now time.Time) {
 	for kind, m := range s.mirrors {
-		newer := s.table.Newer(kind, m.State().Version())
+		newer := s.table.PeersWithNewer(kind, m.State().Version())
 		if s.Due(kind, len(newer) > 0, now) {
 			go s.Fetch(ctx, kind, newer[rand.IntN(len(newer))])
 		}
--- a/gateway/replica/syncer_test.go
+++ b/gateway/replica/syncer_test.go
@@ -59,7 +59,7 @@
 func (g *gateway) hear(name string, sequence uint64, set func(*member.Heartbeat)) {
 	b := member.Heartbeat{Entry: member.Entry{Name: name, Zone: "a", Peer: name + ":1"}, Sequence: sequence, Ready: true}
 	set(&b)
-	g.table.Hear(b, time.Now())
+	g.table.HandleHeartbeat(b, time.Now())
 }
 
 // serving returns the address of a server for g's copies.
@@ -193,7 +193,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				e := newGateway("m")
-				e.table.Know(c.listed)
+				e.table.SetListed(c.listed)
 				e.Elect(time.Now())
 				g.Expect(e.KeptByStore(config)).To(Equal(c.atOnce))
 				for _, l := range c.listed {
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -115,7 +115,7 @@
 	for _, name := range silent {
 		g.log.Warn("entry lost", "entry", name)
 	}
-	for _, name := range g.table.Arrived() {
+	for _, name := range g.table.Joined() {
 		g.log.Info("entry heard", "entry", name)
 	}
 	if g.table.Size() == 1 {
--- a/member/digest.go
+++ b/member/digest.go
@@ -22,8 +22,8 @@
 	Covers int `json:"covers"`
 	// InFlight counts their requests in progress by endpoint, Suspects those of them that
 	// suspect it.
-	InFlight Packed `json:"inFlight,omitempty"`
-	Suspects Packed `json:"suspects,omitempty"`
+	InFlight PackedCounts `json:"inFlight,omitempty"`
+	Suspects PackedCounts `json:"suspects,omitempty"`
 }
 
 // Roll tells who is alive, by what has changed of late.
@@ -39,8 +39,8 @@
 	Gone bool `json:"gone,omitempty"`
 }
 
-// Packed are counts by endpoint, for each the key of its life and the count.
-type Packed []byte
+// PackedCounts are counts by endpoint, for each the key of its life and the count.
+type PackedCounts []byte
 
 // packedSize is the size of an endpoint's count, in bytes: four of its key and one.
 const packedSize = 5
@@ -85,8 +85,8 @@
 }
 
 // pack returns the counts above zero.
-func (c keyCounts) pack() Packed {
-	out := make(Packed, 0, packedSize*len(c))
+func (c keyCounts) pack() PackedCounts {
+	out := make(PackedCounts, 0, packedSize*len(c))
 	for k, n := range c {
 		if n > 0 {
 			out = binary.BigEndian.AppendUint32(out, uint32(k))
@@ -97,7 +97,7 @@
 }
 
 // unpack returns the counts in p; what is left of a part of one is dropped.
-func (p Packed) unpack() keyCounts {
+func (p PackedCounts) unpack() keyCounts {
 	out := make(keyCounts, len(p)/packedSize)
 	for ; len(p) >= packedSize; p = p[packedSize:] {
 		out[endpointKey(binary.BigEndian.Uint32(p))] += int(p[packedSize-1])
--- a/member/fleet_test.go
+++ b/member/fleet_test.go
@@ -50,7 +50,7 @@
 	fleet  *fleet
 	entry  member.Entry
 	table  *member.Table
-	beater *member.Beater
+	beater *member.Heartbeater
 	cancel context.CancelFunc
 	conn   *conn
 
@@ -148,24 +148,24 @@
 		known = append(known, newEntry(j, 1))
 	}
 	if listed > 0 {
-		n.table.Know(known)
+		n.table.SetListed(known)
 	}
 	ctx, end := context.WithCancel(f.ctx)
 	n.cancel = end
-	n.beater = member.NewBeater(n.conn, n.table, member.Handlers{
-		Describe: n.describe,
-		After: func(dead []string) {
+	n.beater = member.NewHeartbeater(n.conn, n.table, member.Handlers{
+		NextHeartbeat: n.describe,
+		AfterRound: func(dead []string) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.lost = append(n.lost, dead...)
 		},
-		Heard:   func() {},
-		Poison:  n.handlePoison,
-		Advice:  n.handleAdvice,
-		Sent:    n.countSent,
-		Notice:  func(member.Notice) {},
-		AskRoll: n.fetchRoll,
-		Log:     log.New(io.Discard),
+		OnHeartbeat: func() {},
+		OnPoison:    n.handlePoison,
+		OnAdvice:    n.handleAdvice,
+		OnSent:      n.countSent,
+		OnNotice:    func(member.Notice) {},
+		FetchRoll:   n.fetchRoll,
+		Log:         log.New(io.Discard),
 	})
 	f.mu.Lock()
 	f.gateways[peerAddr(i)] = n
@@ -501,7 +501,7 @@
 		}
 		time.Sleep(500 * time.Millisecond)
 		for i, n := range nodes[5:] {
-			f.Expect(n.table.Newer("config", mirror.Version{Revision: 5, Digest: 5})).To(ContainElement(peerAddr((i+5)%5)), n.entry.Name)
+			f.Expect(n.table.PeersWithNewer("config", mirror.Version{Revision: 5, Digest: 5})).To(ContainElement(peerAddr((i+5)%5)), n.entry.Name)
 		}
 	})
 }
--- a/member/relay.go
+++ b/member/relay.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Behind returns the relays whose whole roll is to be asked for now, and notes that it is.
-func (t *Table) Behind(now time.Time) []Entry {
+// RelaysToSync returns the relays whose whole roll is to be asked for now, and notes that it is.
+func (t *Table) RelaysToSync(now time.Time) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Entry
@@ -62,8 +62,8 @@
 	return out
 }
 
-// TakeRoll takes in the whole roll of a relay.
-func (t *Table) TakeRoll(from Entry, members []Member) {
+// SetRoll takes in the whole roll of a relay.
+func (t *Table) SetRoll(from Entry, members []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.relays[from.Name]
@@ -77,8 +77,8 @@
 	t.invalidate()
 }
 
-// WholeRoll returns all members of the roll that this gateway tells as a relay.
-func (t *Table) WholeRoll() []Member {
+// FullRoll returns all members of the roll that this gateway tells as a relay.
+func (t *Table) FullRoll() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]Member, 0, len(t.ownRoll.members))
--- a/member/service.go
+++ b/member/service.go
@@ -35,12 +35,12 @@
 
 // Roll gives the whole roll.
 func (s *RollService) Roll(_ RollRequest, reply *RollReply) error {
-	reply.Members = s.table.WholeRoll()
+	reply.Members = s.table.FullRoll()
 	return nil
 }
 
-// AskRoll asks the gateway at addr for its whole roll; self asks.
-func AskRoll(ctx context.Context, pool *peerconn.Pool, addr, self string) ([]Member, error) {
+// FetchRoll asks the gateway at addr for its whole roll; self asks.
+func FetchRoll(ctx context.Context, pool *peerconn.Pool, addr, self string) ([]Member, error) {
 	var reply RollReply
 	if err := pool.Call(ctx, addr, methodRoll, RollRequest{Gateway: self}, &reply); err != nil {
 		return nil, err
--- a/member/table.go
+++ b/member/table.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Know replaces the list of gateways that are to be told of this one.
-func (t *Table) Know(entries []Entry) {
+// SetListed replaces the list of gateways that are to be told of this one.
+func (t *Table) SetListed(entries []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.listedEntries = map[string]Entry{}
@@ -84,15 +84,15 @@
 	t.live, t.entries = nil, nil
 }
 
-// Hear takes in a heartbeat and returns whether it is new.
-func (t *Table) Hear(b Heartbeat, now time.Time) bool {
+// HandleHeartbeat takes in a heartbeat and returns whether it is new.
+func (t *Table) HandleHeartbeat(b Heartbeat, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.record(b, now)
 }
 
-// HearRelay takes in a relay's heartbeat with its digest, and returns whether they are new.
-func (t *Table) HearRelay(b Heartbeat, d Digest, now time.Time) bool {
+// HandleRelayHeartbeat takes in a relay's heartbeat with its digest, and returns whether they are new.
+func (t *Table) HandleRelayHeartbeat(b Heartbeat, d Digest, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.record(b, now) {
@@ -151,8 +151,8 @@
 	return dead
 }
 
-// Arrived returns the gateways that are alive anew since it was last called.
-func (t *Table) Arrived() []string {
+// Joined returns the gateways that are alive anew since it was last called.
+func (t *Table) Joined() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.liveMembers()
@@ -211,9 +211,9 @@
 	return out
 }
 
-// Others returns the peer addresses of all gateways that were ever told of and
+// PeerAddrs returns the peer addresses of all gateways that were ever told of and
 // of those that are alive.
-func (t *Table) Others() []string {
+func (t *Table) PeerAddrs() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.peerAddrs()
@@ -246,9 +246,9 @@
 	return out
 }
 
-// Sharers returns how many gateways there are at most, with this one: those that
+// KnownSize returns how many gateways there are at most, with this one: those that
 // the store lists and those that are alive. It is 0 until the store's list is known.
-func (t *Table) Sharers() int {
+func (t *Table) KnownSize() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.listLoaded {
--- a/member/watch.go
+++ b/member/watch.go
@@ -51,10 +51,10 @@
 	return WatchersOfZone(len(zones), place)
 }
 
-// Watching returns whether this gateway is to watch the store for those of its
+// ShouldWatch returns whether this gateway is to watch the store for those of its
 // zone. The first by name do; the next takes the place of one that the store does
 // not answer.
-func (t *Table) Watching() bool {
+func (t *Table) ShouldWatch() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before, answered := 0, 0
@@ -124,11 +124,11 @@
 	return lost
 }
 
-// Newer returns the peer addresses of gateways that have a newer copy of kind than mine,
+// PeersWithNewer returns the peer addresses of gateways that have a newer copy of kind than mine,
 // of those that this one hears itself: where there are relays, these bring a copy into
 // their zone, and the others take it from them. Those of this gateway's zone come alone
 // where there are some.
-func (t *Table) Newer(kind string, mine mirror.Version) []string {
+func (t *Table) PeersWithNewer(kind string, mine mirror.Version) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var near, far []string
--- a/member/wire.go
+++ b/member/wire.go
@@ -45,32 +45,32 @@
 
 // Handlers are what a Beater calls, each from a goroutine of the Beater's.
 type Handlers struct {
-	// Describe returns the next heartbeat, without its number.
-	Describe func() Heartbeat
-	// After is called after each round, with the names of gateways that are no longer
+	// NextHeartbeat returns the next heartbeat, without its number.
+	NextHeartbeat func() Heartbeat
+	// AfterRound is called after each round, with the names of gateways that are no longer
 	// alive.
-	After func(dead []string)
-	// Heard is called after each new heartbeat of another gateway.
-	Heard func()
-	// Poison is called with what a new heartbeat tells of requests under which endpoints
+	AfterRound func(dead []string)
+	// OnHeartbeat is called after each new heartbeat of another gateway.
+	OnHeartbeat func()
+	// OnPoison is called with what a new heartbeat tells of requests under which endpoints
 	// ended; nil means that nobody wants it.
-	Poison func([]byte)
-	// Advice is called with what a new heartbeat tells of endpoints' answers; nil means that
+	OnPoison func([]byte)
+	// OnAdvice is called with what a new heartbeat tells of endpoints' answers; nil means that
 	// nobody wants it.
-	Advice func([]Advice)
-	// Notice is called with each notice.
-	Notice func(Notice)
-	// AskRoll asks the relay at addr for its whole roll; see RollService.
-	AskRoll func(ctx context.Context, addr string) ([]Member, error)
-	// Sent hears of each message that was sent, of how many bytes and to how many gateways;
+	OnAdvice func([]Advice)
+	// OnNotice is called with each notice.
+	OnNotice func(Notice)
+	// FetchRoll asks the relay at addr for its whole roll; see RollService.
+	FetchRoll func(ctx context.Context, addr string) ([]Member, error)
+	// OnSent hears of each message that was sent, of how many bytes and to how many gateways;
 	// nil means that nobody does.
-	Sent func(kind Kind, bytes, gateways int)
+	OnSent func(kind Kind, bytes, gateways int)
 	// Log takes lines about datagrams that can't be sent or read.
 	Log *log.Logger
 }
 
-// Beater sends this gateway's heartbeats and takes those of others.
-type Beater struct {
+// Heartbeater sends this gateway's heartbeats and takes those of others.
+type Heartbeater struct {
 	conn     net.PacketConn
 	table    *Table
 	handlers Handlers
@@ -78,22 +78,22 @@
 	trigger chan struct{}
 }
 
-// NewBeater returns a Beater on conn.
-func NewBeater(conn net.PacketConn, table *Table, h Handlers) *Beater {
-	if h.Sent == nil {
-		h.Sent = func(Kind, int, int) {}
+// NewHeartbeater returns a Beater on conn.
+func NewHeartbeater(conn net.PacketConn, table *Table, h Handlers) *Heartbeater {
+	if h.OnSent == nil {
+		h.OnSent = func(Kind, int, int) {}
 	}
-	if h.Poison == nil {
-		h.Poison = func([]byte) {}
+	if h.OnPoison == nil {
+		h.OnPoison = func([]byte) {}
 	}
-	if h.Advice == nil {
-		h.Advice = func([]Advice) {}
+	if h.OnAdvice == nil {
+		h.OnAdvice = func([]Advice) {}
 	}
-	return &Beater{conn: conn, table: table, handlers: h, trigger: make(chan struct{}, 1)}
+	return &Heartbeater{conn: conn, table: table, handlers: h, trigger: make(chan struct{}, 1)}
 }
 
 // SendSoon makes the next heartbeat come at once.
-func (b *Beater) SendSoon() {
+func (b *Heartbeater) SendSoon() {
 	select {
 	case b.trigger <- struct{}{}:
 	default: // one is asked for already
@@ -132,7 +132,7 @@
 }
 
 // Run sends and takes heartbeats until ctx ends.
-func (b *Beater) Run(ctx context.Context) {
+func (b *Heartbeater) Run(ctx context.Context) {
 	go b.receive(ctx)
 	defer func() { _ = b.conn.Close() }() // ends receive
 	ticker := time.NewTicker(Interval)
@@ -141,7 +141,7 @@
 	for {
 		sequence++
 		b.send(sequence)
-		b.handlers.After(b.table.Expire(time.Now()))
+		b.handlers.AfterRound(b.table.Expire(time.Now()))
 		select {
 		case <-ctx.Done():
 			b.send(sequence + 1)
@@ -153,20 +153,20 @@
 	}
 }
 
-func (b *Beater) send(sequence uint64) {
-	beat := b.handlers.Describe()
+func (b *Heartbeater) send(sequence uint64) {
+	beat := b.handlers.NextHeartbeat()
 	beat.Sequence = sequence
 	for _, p := range b.table.plan(beat, time.Now()) {
 		n, err := send(b.conn, p.addrs, p.message)
 		if err != nil {
 			b.handlers.Log.Debug("heartbeat not sent to all", "err", err)
 		}
-		b.handlers.Sent(p.message.kind(), n, len(p.addrs))
+		b.handlers.OnSent(p.message.kind(), n, len(p.addrs))
 	}
 }
 
 // receive takes datagrams until the connection is closed.
-func (b *Beater) receive(ctx context.Context) {
+func (b *Heartbeater) receive(ctx context.Context) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, _, err := b.conn.ReadFrom(buffer)
@@ -182,49 +182,49 @@
 		case m.Heartbeat != nil:
 			b.handleHeartbeat(ctx, &m)
 		case m.Notice != nil:
-			b.handlers.Notice(*m.Notice)
+			b.handlers.OnNotice(*m.Notice)
 		}
 	}
 }
 
 // handleHeartbeat takes in a heartbeat, and what a relay sends with it.
-func (b *Beater) handleHeartbeat(ctx context.Context, m *message) {
+func (b *Heartbeater) handleHeartbeat(ctx context.Context, m *message) {
 	now := time.Now()
 	if m.Digest == nil {
-		if b.table.Hear(*m.Heartbeat, now) {
+		if b.table.HandleHeartbeat(*m.Heartbeat, now) {
 			b.dispatch(m.Heartbeat)
 		}
 		return
 	}
-	if !b.table.HearRelay(*m.Heartbeat, *m.Digest, now) {
+	if !b.table.HandleRelayHeartbeat(*m.Heartbeat, *m.Digest, now) {
 		return
 	}
 	b.dispatch(m.Heartbeat)
-	for _, relay := range b.table.Behind(now) {
+	for _, relay := range b.table.RelaysToSync(now) {
 		go b.fetchRoll(ctx, relay)
 	}
 }
 
 // dispatch hands a new heartbeat on.
-func (b *Beater) dispatch(beat *Heartbeat) {
+func (b *Heartbeater) dispatch(beat *Heartbeat) {
 	if len(beat.Poison) > 0 {
-		b.handlers.Poison(beat.Poison)
+		b.handlers.OnPoison(beat.Poison)
 	}
 	if len(beat.Advice) > 0 {
-		b.handlers.Advice(beat.Advice)
+		b.handlers.OnAdvice(beat.Advice)
 	}
-	b.handlers.Heard()
+	b.handlers.OnHeartbeat()
 }
 
 // fetchRoll takes the whole roll of a relay. Where that fails, it is asked for again with a
 // later digest.
-func (b *Beater) fetchRoll(ctx context.Context, relay Entry) {
+func (b *Heartbeater) fetchRoll(ctx context.Context, relay Entry) {
 	ctx, cancel := context.WithTimeout(ctx, rollRequestTimeout)
 	defer cancel()
-	members, err := b.handlers.AskRoll(ctx, relay.Peer)
+	members, err := b.handlers.FetchRoll(ctx, relay.Peer)
 	if err != nil {
 		b.handlers.Log.Debug("no roll from a relay", "peer", relay.Peer, "err", err)
 		return
 	}
-	b.table.TakeRoll(relay, members)
+	b.table.SetRoll(relay, members)
 }
