--- a/member/advice_test.go
+++ b/member/advice_test.go
@@ -12,10 +12,10 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// advisingEndpoint is an endpoint that tells of itself in its answers.
+// advisingEndpoint is a roster whose endpoint states limits in its responses.
 var advisingEndpoint = &roster.List{Endpoints: map[string]*roster.Endpoint{"e": {ID: "e", Service: "s", Addr: "e", Slots: 4}}}
 
-// receiveAnswer lets a gateway have an receiveAnswer of the endpoint.
+// receiveAnswer makes the gateway receive a response with advice from the endpoint.
 func (n *node) receiveAnswer(f *fleet, a advisory.Advisory) {
 	lease, err := n.balancer.Pick(&balance.Query{Service: "s"}, time.Now())
 	f.Expect(err).NotTo(HaveOccurred())
@@ -23,7 +23,7 @@
 	lease.Done(balance.Served, time.Now())
 }
 
-// countSending returns how many of nodes send the endpoint requests.
+// countSending returns how many of nodes send requests to the endpoint.
 func countSending(nodes []*node) int {
 	count := 0
 	for _, n := range nodes {
@@ -35,7 +35,8 @@
 	return count
 }
 
-// Gateways that have not heard of a limit send on, and the more there are the more.
+// Gateways that have not learned of a limit keep sending, so a slow spread costs more in a
+// larger fleet.
 func TestALimitIsKnownByAllSoon(t *testing.T) {
 	for _, c := range propagationCases {
 		t.Run(fmt.Sprintf("%d gateways, loss %g", c.size, c.loss), func(t *testing.T) {
@@ -49,7 +50,7 @@
 				time.Sleep(c.within)
 				f.Expect(countSending(nodes)).To(BeZero())
 				time.Sleep(10 * time.Second)
-				f.Expect(countSending(nodes[1:])).To(BeZero(), "who holds the endpoint confirms it")
+				f.Expect(countSending(nodes[1:])).To(BeZero(), "the holder of the endpoint confirms the limit")
 				holder.receiveAnswer(f, advisory.Advisory{Limit: advisory.Unlimited{}})
 				time.Sleep(c.within)
 				f.Expect(countSending(nodes)).To(Equal(c.size))
@@ -58,7 +59,7 @@
 	}
 }
 
-// A gateway that has just started knows nothing of limits.
+// A gateway that has just started knows no limits and must learn them from others.
 func TestWhoStartsIsToldOfLimits(t *testing.T) {
 	for _, size := range []int{6, 39} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -80,7 +81,7 @@
 	}
 }
 
-// What no endpoint says must cost nothing.
+// Heartbeats carry no advice while no endpoint states a limit.
 func TestNothingIsToldWhileNoEndpointNamesALimit(t *testing.T) {
 	runFleet(t, 6, func(f *fleet, nodes []*node) {
 		nodes[0].receiveAnswer(f, advisory.Advisory{Limit: advisory.Unlimited{}})
--- a/member/counts.go
+++ b/member/counts.go
@@ -2,11 +2,11 @@
 
 import "github.com/silverdeck/silverdeck/roster"
 
-// counts are numbers by life of an endpoint, which may be told without the time of its
-// start.
+// counts holds counts by endpoint and start time. The start time is 0 if the reporting gateway
+// does not know it.
 type counts map[string]map[int64]int
 
-// add adds n to a count and drops it when nothing is left.
+// add adds n to the count of l and removes the count once it is no longer positive.
 func (c counts) add(l roster.Life, n int) {
 	lives := c[l.ID]
 	if lives == nil {
@@ -22,7 +22,8 @@
 	}
 }
 
-// get returns the count get l, with what may be get it as far as is known.
+// get returns the count of l, including counts that may refer to it because a start time is
+// unknown.
 func (c counts) get(l roster.Life) int {
 	n := 0
 	for born, counted := range c[l.ID] {
--- a/member/digest.go
+++ b/member/digest.go
@@ -9,57 +9,58 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// Digest is what a relay tells of other gateways, beside its own heartbeat.
+// Digest is a relay's summary of other gateways. It is sent along with the relay's own
+// heartbeat.
 type Digest struct {
-	// Loads sums what they told of endpoints; nil means that it is told another time.
+	// Loads aggregates their endpoint loads; nil if this digest carries none.
 	Loads *Loads `json:"loads,omitempty"`
 	Roll  Roll   `json:"roll"`
 }
 
-// Loads sums what several gateways tell of endpoints.
+// Loads aggregates the endpoint loads of several gateways.
 type Loads struct {
-	// Covers is how many gateways are summed; who receives it is not among them.
+	// Covers is the number of gateways in the aggregate; the receiver is excluded.
 	Covers int `json:"covers"`
-	// InFlight counts their requests in progress by endpoint, Suspects those of them that
-	// suspect it.
+	// InFlight counts in-flight requests by endpoint, Suspects the gateways that suspect an
+	// endpoint.
 	InFlight PackedCounts `json:"inFlight,omitempty"`
 	Suspects PackedCounts `json:"suspects,omitempty"`
 }
 
-// Roll tells who is alive, by what has changed of late.
+// Roll describes a relay's membership list by a hash and its recent changes.
 type Roll struct {
-	// Hash is that of all members; see roll.
+	// Hash covers all members; see roll.
 	Hash    uint64   `json:"hash"`
 	Changes []Change `json:"changes,omitempty"`
 }
 
-// Change is a gateway that has come, changed or gone.
+// Change is a gateway that joined, changed or left.
 type Change struct {
 	Member
 	Gone bool `json:"gone,omitempty"`
 }
 
-// PackedCounts are counts by endpoint, for each the key of its life and the count.
+// PackedCounts encodes counts by endpoint. Each record is an endpointKey followed by the count.
 type PackedCounts []byte
 
-// packedSize is the size of an endpoint's count, in bytes: four of its key and one.
+// packedSize is the size of a record in bytes: four of the key and one of the count.
 const packedSize = 5
 
-// maxCount is the largest count that is told; 255 stands for more.
+// maxCount is the largest count that is encoded; 255 also stands for anything above.
 const maxCount = 255
 
-// endpointKey names a life of an endpoint in a few bytes. Of 1,900 endpoints two have the
-// same key once in 2,400 fleets; each then counts the other's requests as its own.
+// endpointKey is a hash of an endpoint's incarnation. Among 1,900 endpoints a collision occurs
+// in one of 2,400 fleets; the two endpoints are then charged with each other's requests.
 type endpointKey uint32
 
 func keyOf(l roster.Life) endpointKey {
 	return endpointKey(xxhash.Sum64String(l.ID + "\x00" + strconv.FormatInt(l.Born, 10)))
 }
 
-// keyCounts are numbers by endpoint.
+// keyCounts holds counts by endpoint.
 type keyCounts map[endpointKey]int
 
-// get returns the count get l, with those get gateways that were not told when it began.
+// get returns the count of l, including counts from gateways that do not know its start time.
 func (c keyCounts) get(l roster.Life) int {
 	n := c[keyOf(l)]
 	if l.Born != 0 {
@@ -68,7 +69,7 @@
 	return n
 }
 
-// addCounts adds sign times the counts of others, by life.
+// addCounts adds the counts of others, multiplied by sign.
 func (c keyCounts) addCounts(others counts, sign int) {
 	for id, lives := range others {
 		for born, n := range lives {
@@ -77,14 +78,13 @@
 	}
 }
 
-// add adds the counts of others.
 func (c keyCounts) add(others keyCounts) {
 	for k, n := range others {
 		c[k] += n
 	}
 }
 
-// pack returns the counts above zero.
+// pack encodes the positive counts.
 func (c keyCounts) pack() PackedCounts {
 	out := make(PackedCounts, 0, packedSize*len(c))
 	for k, n := range c {
@@ -96,7 +96,7 @@
 	return out
 }
 
-// unpack returns the counts in p; what is left of a part of one is dropped.
+// unpack decodes p and ignores a truncated record at the end.
 func (p PackedCounts) unpack() keyCounts {
 	out := make(keyCounts, len(p)/packedSize)
 	for ; len(p) >= packedSize; p = p[packedSize:] {
@@ -105,7 +105,7 @@
 	return out
 }
 
-// hash is what a member adds to the hash of a roll.
+// hash returns the member's contribution to the hash of a roll.
 func (m *Member) hash() uint64 {
 	flags := strconv.FormatBool(m.Ready) + strconv.FormatBool(m.Watching) + strconv.FormatBool(m.Away)
 	return xxhash.Sum64String(m.Entry.Name + "\x00" + strconv.FormatUint(m.Entry.Life, 10) + flags)
--- a/member/fleet_test.go
+++ b/member/fleet_test.go
@@ -22,8 +22,8 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// fleet is gateways on virtual time, over a network in memory that delays datagrams by a
-// few milliseconds and loses some.
+// fleet is a set of gateways on virtual time. They communicate over an in-memory network that
+// delays datagrams by a few milliseconds and loses some.
 type fleet struct {
 	*WithT
 	ctx context.Context
@@ -32,20 +32,20 @@
 	random   *rand.Rand
 	loss     float64
 	gateways map[string]*node
-	// blocked are pairs of gateways, by name, where the first does not reach the second.
+	// blocked returns whether datagrams from one gateway to another, by name, are dropped.
 	blocked func(from, to string) bool
 	// sent counts datagrams and bytes by the sender's name.
 	sent map[string]traffic
 }
 
-// zones is how many availability zones a fleet has.
+// zones is the number of availability zones of a fleet.
 const zones = 5
 
 type traffic struct {
 	datagrams, bytes int
 }
 
-// node is one life of a gateway.
+// node is one incarnation of a gateway.
 type node struct {
 	fleet  *fleet
 	entry  member.Entry
@@ -58,13 +58,13 @@
 	inFlight map[roster.Life]int
 	suspects []roster.Life
 	copies   int64
-	// poison is what it knows of requests under which endpoints ended.
+	// poison records the requests during which endpoints terminated.
 	poison *poison.Table
-	// balancer is what it knows of an endpoint.
+	// balancer tracks the endpoint under test.
 	balancer *balance.Balancer
-	// countedBytes is how many bytes it has sent by its own count.
+	// countedBytes is the sum of the bytes reported to OnSent.
 	countedBytes int
-	// lost are all that were believed dead, in order.
+	// lost lists the gateways that were considered dead, in order.
 	lost []string
 }
 
@@ -97,10 +97,9 @@
 	return nil
 }
 
-// peerAddr returns the address of gateway i.
 func peerAddr(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250+1) }
 
-// gatewayName returns the name of gateway i; its zone follows from i.
+// gatewayName returns the name of gateway i. The zone of the gateway follows from i.
 func gatewayName(i int) string { return fmt.Sprintf("g%03d", i) }
 
 func newEntry(i int, life uint64) member.Entry {
@@ -108,7 +107,7 @@
 	return member.Entry{Name: gatewayName(i), Life: life, Peer: peerAddr(i), Callers: peerAddr(i), Zone: zone, Region: zone, Relays: true}
 }
 
-// deliver carries a datagram.
+// deliver transmits a datagram.
 func (f *fleet) deliver(from, to string, p []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,12 +122,12 @@
 	time.AfterFunc(delay, func() {
 		select {
 		case n.conn.queue <- data:
-		default: // the socket's buffer is full
+		default: // the socket buffer is full
 		}
 	})
 }
 
-// start starts gateway i, which knows the gateways that the store lists.
+// start starts gateway i with the first listed gateways in its list from the store.
 func (f *fleet) start(i int, life uint64, listed int, change func(*member.Entry)) *node {
 	entry := newEntry(i, life)
 	if change != nil {
@@ -171,13 +170,13 @@
 	f.gateways[peerAddr(i)] = n
 	f.mu.Unlock()
 	go func() {
-		time.Sleep(time.Duration(i*37%200) * time.Millisecond) // they don't start in step
+		time.Sleep(time.Duration(i*37%200) * time.Millisecond) // staggers the gateways' heartbeats
 		n.beater.Run(ctx)
 	}()
 	return n
 }
 
-// countSent notes what the gateway itself counts of what it sends.
+// countSent adds up the traffic that the Heartbeater reports.
 func (n *node) countSent(_ member.Kind, bytes, gateways int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -195,7 +194,7 @@
 	return b
 }
 
-// handleAdvice takes in what another gateway tells of endpoints, and as a relay tells it on.
+// handleAdvice records advice from another gateway; a relay forwards it.
 func (n *node) handleAdvice(told []member.Advice) {
 	now := time.Now()
 	if len(n.balancer.Learn(advisory.Unpack(told, now), now)) > 0 && n.table.IsRelay() {
@@ -203,7 +202,7 @@
 	}
 }
 
-// handlePoison takes in what another gateway tells, and as a relay tells it on.
+// handlePoison records reports from another gateway; a relay forwards them.
 func (n *node) handlePoison(data []byte) {
 	if n.poison.Take(poison.Unpack(data), time.Now()) && n.table.IsRelay() {
 		n.beater.SendSoon()
@@ -216,7 +215,7 @@
 	n.inFlight, n.suspects = inFlight, suspects
 }
 
-// fetchRoll asks as the service does, over a network that may be cut.
+// fetchRoll calls the service as the RPC does, over a network that may be partitioned.
 func (n *node) fetchRoll(ctx context.Context, addr string) ([]member.Member, error) {
 	n.fleet.mu.Lock()
 	peer := n.fleet.gateways[addr]
@@ -232,7 +231,7 @@
 	return reply.Members, err
 }
 
-// kill ends gateway i without a word.
+// kill ends gateway i abruptly.
 func (f *fleet) kill(i int) {
 	f.mu.Lock()
 	n := f.gateways[peerAddr(i)]
@@ -254,7 +253,7 @@
 	}
 }
 
-// runFleet runs f with n gateways, which have all started at once and heard each other for
+// runFleet runs f with n gateways that started simultaneously and have exchanged heartbeats for
 // three seconds.
 func runFleet(t *testing.T, n int, f func(f *fleet, nodes []*node)) {
 	synctest.Test(t, func(t *testing.T) {
@@ -275,8 +274,7 @@
 	})
 }
 
-// sizeRange returns the least and the greatest number of gateways that any of nodes believes
-// alive.
+// sizeRange returns the smallest and the largest membership size that any of nodes sees.
 func sizeRange(nodes []*node) (least, most int) {
 	least = 1 << 20
 	for _, n := range nodes {
@@ -286,7 +284,8 @@
 	return least, most
 }
 
-// believedDead returns how often any of nodes believed a gateway dead, and forgets it.
+// believedDead returns how often any of nodes considered a gateway dead, by name, and resets
+// the record.
 func believedDead(nodes []*node) map[string]int {
 	out := map[string]int{}
 	for _, n := range nodes {
@@ -314,8 +313,8 @@
 	}
 }
 
-// Heartbeats from all to all lost one in twenty: with five a second and four that may be
-// lost in a row nobody was believed dead. Relays must not be worse.
+// At a datagram loss of 5% no gateway was considered dead in a full mesh, with five heartbeats
+// per second and a tolerance of four consecutive losses. Relays must not do worse.
 func TestNobodyIsBelievedDeadForLostDatagrams(t *testing.T) {
 	runFleet(t, 40, func(f *fleet, nodes []*node) {
 		believedDead(nodes)
@@ -331,11 +330,11 @@
 	for _, c := range []struct {
 		name string
 		dead []int
-		// within is AliveTime, one heartbeat for who heard it last, and for each step by
-		// relays one more.
+		// within is AliveTime, one heartbeat interval for the gateway that heard it last, and
+		// one more for each hop through relays.
 		within time.Duration
 	}{
-		{"one that is no relay", []int{33}, 1500 * time.Millisecond},
+		{"a non-relay", []int{33}, 1500 * time.Millisecond},
 		{"a relay", []int{0}, 1500 * time.Millisecond},
 		{"both relays of a zone", []int{0, 5}, 2700 * time.Millisecond},
 		{"a whole zone", []int{0, 5, 10, 15, 20, 25, 30, 35}, 2700 * time.Millisecond},
@@ -356,7 +355,7 @@
 				time.Sleep(c.within)
 				least, most := sizeRange(left)
 				f.Expect(most).To(Equal(len(left)))
-				f.Expect(least).To(Equal(len(left)), "and no other")
+				f.Expect(least).To(Equal(len(left)), "live gateways are not considered dead")
 				time.Sleep(3 * time.Second)
 				for name := range believedDead(left) {
 					f.Expect(dead).To(HaveKey(name))
@@ -366,8 +365,8 @@
 	}
 }
 
-// What gateways have in progress at an endpoint is known to all others, each counted once,
-// whether it is told directly, by one relay or by two.
+// Each gateway's in-flight requests at an endpoint reach all others and are counted once,
+// whether they arrive directly, through one relay or through two.
 func TestLoadsAreKnownByAllOnce(t *testing.T) {
 	for _, size := range []int{6, 40} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -382,9 +381,9 @@
 				time.Sleep(1500 * time.Millisecond)
 				for i, n := range nodes {
 					f.Expect(n.table.InFlight(e1)).To(Equal(all-i%5-1), n.entry.Name)
-					f.Expect(n.table.InFlight(roster.Life{ID: n.entry.Name})).To(BeZero(), "its own")
+					f.Expect(n.table.InFlight(roster.Life{ID: n.entry.Name})).To(BeZero(), "own requests are excluded")
 					f.Expect(n.table.InFlight(roster.Life{ID: nodes[(i+1)%size].entry.Name})).To(Equal(7))
-					f.Expect(n.table.InFlight(roster.Life{ID: "e1", Born: 6})).To(BeZero(), "another life")
+					f.Expect(n.table.InFlight(roster.Life{ID: "e1", Born: 6})).To(BeZero(), "another incarnation")
 				}
 				for _, n := range nodes {
 					n.setLoad(nil)
@@ -400,8 +399,8 @@
 	}
 }
 
-// A relay whose link carries only what it sends hears nobody. It goes on sending digests,
-// of nobody: by them all others of its zone would seem dead and all endpoints idle.
+// A relay with a one-way link receives nothing but keeps sending digests, which are empty. If
+// these were used, all other gateways of its zone would appear dead and all endpoints idle.
 func TestARelayThatHearsNobodyMisleadsNobody(t *testing.T) {
 	runFleet(t, 40, func(f *fleet, nodes []*node) {
 		for _, n := range nodes {
@@ -421,8 +420,8 @@
 	})
 }
 
-// A zone that is cut off keeps what it knows of itself, and is known again to all soon
-// after the cut.
+// A partitioned zone keeps its own membership and is visible to all gateways again soon after
+// the partition ends.
 func TestAZoneThatIsCutOffComesBack(t *testing.T) {
 	zoneOf := func(name string) byte { return (name[3] - '0') % zones }
 	runFleet(t, 40, func(f *fleet, nodes []*node) {
@@ -441,8 +440,8 @@
 	})
 }
 
-// Gateways that are killed together start again, and the store that lists the others is
-// away: they know nobody. Who lives tells them.
+// Gateways that were killed together restart while the store is unavailable, so they have no
+// list of gateways. The live gateways' probes must reach them.
 func TestWhoStartsWithoutTheStoreIsFound(t *testing.T) {
 	runFleet(t, 40, func(f *fleet, nodes []*node) {
 		var all []*node
@@ -469,8 +468,8 @@
 	})
 }
 
-// During an upgrade a gateway of the release before lives beside the others: it sends to
-// all and hears only who sends to it.
+// During an upgrade a gateway of the previous release sends to all others and hears only those
+// that send to it directly.
 func TestAnOlderProgramIsHeardAndHearsAll(t *testing.T) {
 	runFleet(t, 20, func(f *fleet, nodes []*node) {
 		f.kill(7)
@@ -490,8 +489,8 @@
 	})
 }
 
-// A change of a relay's copy is told to its zone and to the relays of the others; who is no
-// relay takes copies from the relays of its zone.
+// A change of a relay's copy is announced to its zone and to the relays of other zones;
+// gateways that are not relays take copies from the relays of their zone.
 func TestRelaysTellOfTheirCopies(t *testing.T) {
 	runFleet(t, 40, func(f *fleet, nodes []*node) {
 		for i := range 5 {
@@ -506,8 +505,8 @@
 	})
 }
 
-// Each gateway sent each other one five heartbeats a second: at 149 that was 444 KB a
-// second of each. What a gateway sends that is no relay does not grow with the fleet.
+// In a full mesh with five heartbeats per second each of 149 gateways sent 444 KB/s. The
+// traffic of a non-relay must not grow with the fleet.
 func TestWhatAGatewaySendsDoesNotGrowWithTheFleet(t *testing.T) {
 	perSecond := map[int]traffic{}
 	busiest := map[int]int{}
@@ -525,7 +524,7 @@
 			defer f.mu.Unlock()
 			last := f.sent[gatewayName(size-1)]
 			nodes[size-1].mu.Lock()
-			f.Expect(nodes[size-1].countedBytes).To(BeNumerically(">", last.bytes), "all that was sent is counted")
+			f.Expect(nodes[size-1].countedBytes).To(BeNumerically(">", last.bytes), "all sent bytes are counted")
 			nodes[size-1].mu.Unlock()
 			perSecond[size] = traffic{datagrams: last.datagrams / 10, bytes: last.bytes / 10}
 			for _, s := range f.sent {
@@ -534,7 +533,7 @@
 		})
 	}
 	g := NewWithT(t)
-	t.Log("of one that is no relay:", perSecond, "bytes a second of the busiest:", busiest)
+	t.Log("non-relay, per second:", perSecond, "busiest gateway, bytes per second:", busiest)
 	g.Expect(perSecond[60].datagrams).To(BeNumerically("~", perSecond[20].datagrams, 2))
 	g.Expect(perSecond[60].bytes).To(BeNumerically("<", perSecond[20].bytes*11/10))
 	g.Expect(perSecond[60].bytes).To(BeNumerically("<", 4000))
--- a/member/member.go
+++ b/member/member.go
@@ -1,18 +1,19 @@
-// Package member tells which gateways are alive and how busy endpoints are:
-// gateways send heartbeats by UDP, with their own requests in progress at each
-// endpoint and the versions of their copies of the store.
+// Package member tracks which gateways are alive and how loaded the endpoints are. Gateways
+// send heartbeats over UDP. A heartbeat carries the sender's in-flight requests by endpoint and
+// the versions of its copies of the store.
 //
-// A few gateways send theirs to each other. Where there are more, each sends them to the
-// relays of its availability zone, which are the first two of those that are alive, and
-// relays send digests of what they heard: to the gateways of their zone one of everybody,
-// to the relays of other zones one of their own. Nobody is elected: who is a relay follows
-// from what each gateway knows, and two that differ for a moment both send. What a gateway
-// that is no relay sends then does not grow with the number of gateways; what a relay sends
-// grows with those of its zone.
+// Small fleets use a full mesh. In larger fleets each gateway sends its heartbeats to the
+// relays of its availability zone, which are the first two live gateways of the zone, and
+// relays send digests of the heartbeats that they received: a digest of all gateways to the
+// gateways of their own zone, and a digest of their own zone to the relays of other zones.
+// There is no election: each gateway derives the relays from its own view of the membership.
+// While two views differ, both candidates send. The traffic that a non-relay sends therefore
+// does not grow with the number of gateways; the traffic of a relay grows with the size of its
+// zone.
 //
-// It owns the table of what others told last, under one lock. It relies on the
-// store's list of gateways only to find those that were not heard yet. A gateway
-// is called entry on the wire and in log lines.
+// The package owns the table of the last state received from each gateway, guarded by one lock.
+// The store's list of gateways is used only to find gateways that have not been heard yet. On
+// the wire and in log lines a gateway is called an entry.
 package member
 
 import (
@@ -22,80 +23,81 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// Entry is what a gateway tells of itself when it starts.
+// Entry is a gateway's description of itself, set at its start.
 type Entry struct {
-	// Name is the VM.
+	// Name is the name of the gateway's VM.
 	Name string `json:"name"`
-	// Life is the incarnation, a number drawn at each start.
+	// Life is the incarnation of the process, a random number drawn at each start.
 	Life uint64 `json:"life"`
-	// Peer takes heartbeats and calls, Callers takes callers' requests.
+	// Peer is the address for heartbeats and calls from other gateways, Callers the address for
+	// requests from callers.
 	Peer    string `json:"peer"`
 	Callers string `json:"callers"`
 	Zone    string `json:"zone"`
 	Region  string `json:"region"`
-	// Relays is set by programs that take and send digests; older ones leave it out.
+	// Relays is set by versions that send and receive digests; older versions omit it.
 	Relays bool `json:"relays,omitempty"`
-	// Heeds is set by programs that keep to what endpoints say in their answers and tell each
-	// other of it; older ones leave it out.
+	// Heeds is set by versions that honor the limits and leave notices in endpoints' responses
+	// and share them with other gateways; older versions omit it.
 	Heeds bool `json:"heeds,omitempty"`
 }
 
-// Heartbeat is what a gateway tells regularly.
+// Heartbeat is the state that a gateway sends periodically.
 type Heartbeat struct {
 	Entry Entry `json:"entry"`
-	// Sequence rises with each heartbeat of one life.
+	// Sequence increases with each heartbeat of one incarnation.
 	Sequence uint64 `json:"seq"`
-	// Ready is set while the gateway takes requests.
+	// Ready is set while the gateway accepts requests.
 	Ready bool `json:"ready"`
-	// Copies are the versions of the gateway's copies of the store, by kind.
+	// Copies holds the versions of the gateway's copies of the store, by kind.
 	Copies map[string]mirror.Version `json:"copies"`
-	// Watching is set while the gateway watches the store, Away while the store
-	// does not answer it.
+	// Watching is set while the gateway watches the store, Away while the store does not
+	// respond to it.
 	Watching bool `json:"watching,omitempty"`
 	Away     bool `json:"away,omitempty"`
-	// InFlight counts the gateway's requests in progress by endpoint.
+	// InFlight counts the gateway's in-flight requests by endpoint.
 	InFlight map[string]int `json:"inFlight,omitempty"`
-	// Suspects are endpoints that do not respond to this gateway.
+	// Suspects lists the endpoints that do not respond to this gateway.
 	Suspects []string `json:"suspects,omitempty"`
-	// Born tells of the endpoints above which of their lives is meant, as in
-	// roster.Life; older programs leave it out.
+	// Born holds the start times of the endpoints above, which identify their incarnations as
+	// in roster.Life; older versions omit it.
 	Born map[string]int64 `json:"born,omitempty"`
-	// Brief is set where places of Entry and Copies are left out, since they are as in the
-	// last heartbeat that had them.
+	// Brief is set if Copies and all fields of Entry but Name and Life are omitted because they
+	// are unchanged since the last heartbeat that had them.
 	Brief bool `json:"brief,omitempty"`
-	// Poison is what the gateway tells of requests under which endpoints ended, as package
-	// poison packs it; older programs leave it out and pass it over.
+	// Poison holds reports of requests during which endpoints terminated, as encoded by package
+	// poison; older versions omit and ignore it.
 	Poison []byte `json:"poison,omitempty"`
-	// Advice is what the gateway tells of what endpoints said in their answers; older programs
-	// leave it out and pass it over.
+	// Advice holds what endpoints stated about themselves in their responses; older versions
+	// omit and ignore it.
 	Advice []Advice `json:"advice,omitempty"`
 }
 
-// withoutEndpoints returns b without what it tells of endpoints.
+// withoutEndpoints returns a copy of b without in-flight requests and suspects.
 func (b Heartbeat) withoutEndpoints() Heartbeat {
 	b.InFlight, b.Suspects, b.Born = nil, nil, nil
 	return b
 }
 
-// toBrief returns b without what seldom changes.
+// toBrief returns a copy of b without the fields that seldom change.
 func (b Heartbeat) toBrief() Heartbeat {
 	b.Entry = Entry{Name: b.Entry.Name, Life: b.Entry.Life}
 	b.Copies, b.Brief = nil, true
 	return b
 }
 
-// fromBrief returns a brief heartbeat with what the one before had.
+// fromBrief restores the omitted fields of a brief heartbeat from the preceding one.
 func (b Heartbeat) fromBrief(before *Heartbeat) Heartbeat {
 	b.Entry, b.Copies, b.Brief = before.Entry, before.Copies, false
 	return b
 }
 
-// member returns what the heartbeat tells of its gateway.
+// member returns the membership state in the heartbeat.
 func (b *Heartbeat) member() Member {
 	return Member{Entry: b.Entry, Ready: b.Ready, Watching: b.Watching, Away: b.Away}
 }
 
-// SetEndpoints puts in what the gateway tells of endpoints.
+// SetEndpoints sets the in-flight requests and the suspected endpoints.
 func (b *Heartbeat) SetEndpoints(inFlight map[roster.Life]int, suspects []roster.Life) {
 	b.InFlight, b.Suspects, b.Born = map[string]int{}, nil, map[string]int64{}
 	for l, n := range inFlight {
@@ -114,33 +116,34 @@
 	}
 }
 
-// life returns which life of an endpoint the heartbeat tells of.
+// life returns the incarnation of endpoint id that the heartbeat refers to.
 func (b *Heartbeat) life(id string) roster.Life {
 	return roster.Life{ID: id, Born: b.Born[id]}
 }
 
-// Notice tells gateways that an endpoint is about to change its weights, or has.
+// Notice announces to gateways that an endpoint is about to change its weights, or has changed
+// them.
 type Notice struct {
 	// Addr is the endpoint's address.
 	Addr string `json:"addr"`
-	// PauseMS is for how many milliseconds it should get no requests.
+	// PauseMS is how long, in milliseconds, the endpoint should receive no requests.
 	PauseMS int64 `json:"pauseMs"`
-	// Model and Version are weights that it runs now; empty if that is not told.
+	// Model and Version identify the weights that the endpoint runs now; empty if not stated.
 	Model   string `json:"model,omitempty"`
 	Version int64  `json:"version,omitempty"`
-	// Born tells which of the endpoint's lives is meant, as in roster.Life.
+	// Born is the endpoint's start time, which identifies its incarnation as in roster.Life.
 	Born int64 `json:"born,omitempty"`
 }
 
-// Times of heartbeats.
+// Heartbeat timing.
 const (
-	// Interval is the time between two heartbeats: what gateways know of each other's load
-	// is that old. docs/CAPACITY.md has what it costs.
+	// Interval is the time between two heartbeats, and so the age of what gateways know of each
+	// other's load. docs/CAPACITY.md states its cost.
 	Interval = 200 * time.Millisecond
-	// AliveTime is for how long a gateway counts as alive after its last heartbeat: four
-	// may be lost in a row.
+	// AliveTime is how long a gateway counts as alive after its last heartbeat. It tolerates
+	// the loss of four heartbeats in a row.
 	AliveTime = 900 * time.Millisecond
-	// minHeartbeatInterval is the shortest time between two heartbeats, also when there is news:
-	// changes that come together are told together.
+	// minHeartbeatInterval is the delay before a heartbeat that is sent early because of a
+	// change, so that changes in quick succession share one heartbeat.
 	minHeartbeatInterval = 20 * time.Millisecond
 )
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -34,7 +34,7 @@
 	var t *member.Table
 	BeforeEach(func() { t = member.NewTable(member.Entry{Name: "self"}) })
 
-	It("sums what others have in progress, by their newest word", func() {
+	It("sums the in-flight requests of others from their latest heartbeats", func() {
 		t.HandleHeartbeat(newHeartbeat("x", 1, 1, map[string]int{"e": 2}), now)
 		t.HandleHeartbeat(newHeartbeat("y", 1, 1, map[string]int{"e": 1, "f": 1}), now)
 		Expect(t.InFlight(roster.Life{ID: "e"})).To(Equal(3))
@@ -42,15 +42,15 @@
 		Expect(t.InFlight(roster.Life{ID: "e"})).To(Equal(2))
 	})
 
-	It("ignores heartbeats that are late, its own, and those of nobody", func() {
+	It("ignores outdated heartbeats, its own, and those without a name", func() {
 		Expect(t.HandleHeartbeat(newHeartbeat("x", 1, 5, nil), now)).To(BeTrue())
 		Expect(t.HandleHeartbeat(newHeartbeat("x", 1, 4, nil), now)).To(BeFalse())
-		Expect(t.HandleHeartbeat(newHeartbeat("x", 2, 1, nil), now)).To(BeTrue(), "a new life begins anew")
+		Expect(t.HandleHeartbeat(newHeartbeat("x", 2, 1, nil), now)).To(BeTrue(), "a new incarnation restarts the sequence")
 		Expect(t.HandleHeartbeat(newHeartbeat("self", 1, 1, nil), now)).To(BeFalse())
 		Expect(t.HandleHeartbeat(newHeartbeat("", 1, 1, nil), now)).To(BeFalse())
 	})
 
-	It("forgets the silent, and says so once", func() {
+	It("removes silent gateways and reports each once", func() {
 		t.HandleHeartbeat(newHeartbeat("x", 1, 1, map[string]int{"e": 2}), now)
 		Expect(t.Expire(afterMS(900))).To(BeEmpty())
 		Expect(t.Expire(afterMS(901))).To(Equal([]string{"x"}))
@@ -59,7 +59,7 @@
 		Expect(t.Live()).To(BeEmpty())
 	})
 
-	It("counts an entry that is not ready as alive and does not name it", func() {
+	It("counts a gateway that is not ready as alive but does not list it", func() {
 		b := newHeartbeat("x", 1, 1, nil)
 		b.Ready = false
 		t.HandleHeartbeat(b, now)
@@ -67,21 +67,21 @@
 		Expect(t.Size()).To(Equal(2))
 	})
 
-	It("tells those that the store lists and those that it hears", func() {
+	It("sends to listed gateways and to live ones", func() {
 		t.SetListed([]member.Entry{{Name: "self", Peer: "self:1"}, {Name: "x", Peer: "x:1"}})
 		t.HandleHeartbeat(newHeartbeat("y", 1, 1, nil), now)
 		Expect(t.PeerAddrs()).To(Equal([]string{"x:1", "y:1"}))
 		Expect(names(t.Live())).To(Equal([]string{"y"}))
 	})
 
-	It("shares with all that are listed or heard, and with nobody knows how many before", func() {
+	It("counts listed and live gateways, and none before the list is read", func() {
 		t.HandleHeartbeat(newHeartbeat("y", 1, 1, nil), now)
 		Expect(t.KnownSize()).To(BeZero())
 		t.SetListed([]member.Entry{{Name: "self"}, {Name: "x"}, {Name: "z"}})
 		Expect(t.KnownSize()).To(Equal(4))
 	})
 
-	It("knows what others suspect, until they no longer say so", func() {
+	It("reports the suspects of others until they withdraw the suspicion", func() {
 		b := newHeartbeat("x", 1, 1, nil)
 		b.Suspects = []string{"e"}
 		t.HandleHeartbeat(b, now)
@@ -90,21 +90,21 @@
 		t.HandleHeartbeat(newHeartbeat("x", 1, 2, nil), now)
 		Expect(t.Suspected(roster.Life{ID: "e"})).To(BeFalse())
 	})
-	It("counts by the lives of endpoints", func() {
+	It("counts by incarnation of an endpoint", func() {
 		b := newHeartbeat("x", 1, 1, nil)
 		b.SetEndpoints(map[roster.Life]int{{ID: "e", Born: 5}: 3}, []roster.Life{{ID: "f", Born: 5}})
 		t.HandleHeartbeat(b, now)
 		Expect(t.InFlight(roster.Life{ID: "e", Born: 5})).To(Equal(3))
-		Expect(t.InFlight(roster.Life{ID: "e", Born: 6})).To(BeZero(), "of an earlier life")
-		Expect(t.InFlight(roster.Life{ID: "e"})).To(Equal(3), "this gateway was not told")
+		Expect(t.InFlight(roster.Life{ID: "e", Born: 6})).To(BeZero(), "requests at an earlier incarnation")
+		Expect(t.InFlight(roster.Life{ID: "e"})).To(Equal(3), "this gateway does not know the start time")
 		Expect(t.Suspected(roster.Life{ID: "f", Born: 5})).To(BeTrue())
 		Expect(t.Suspected(roster.Life{ID: "f", Born: 6})).To(BeFalse())
 		t.HandleHeartbeat(newHeartbeat("y", 1, 1, map[string]int{"e": 2}), now)
-		Expect(t.InFlight(roster.Life{ID: "e", Born: 6})).To(Equal(2), "an older program tells no lives")
+		Expect(t.InFlight(roster.Life{ID: "e", Born: 6})).To(Equal(2), "an older version sends no start times")
 		t.Expire(afterMS(901))
 		Expect(t.InFlight(roster.Life{ID: "e", Born: 5})).To(BeZero())
 	})
-	It("knows who is ahead", func() {
+	It("returns gateways with newer copies", func() {
 		t.HandleHeartbeat(newHeartbeat("x", 1, 3, nil), now)
 		t.HandleHeartbeat(newHeartbeat("y", 1, 8, nil), now)
 		t.HandleHeartbeat(newHeartbeat("z", 1, 9, nil), now)
@@ -114,7 +114,7 @@
 		Expect(t.PeersWithNewer("config", version(9))).To(BeEmpty())
 		Expect(t.PeersWithNewer("config", mirror.Version{Revision: 8, Digest: 9})).To(BeEmpty(), "the same objects, confirmed later")
 	})
-	It("asks those of its own zone first", func() {
+	It("prefers gateways of its own zone", func() {
 		far := newHeartbeat("a", 1, 9, nil)
 		far.Entry.Zone = "elsewhere"
 		t.HandleHeartbeat(far, now)
@@ -124,19 +124,20 @@
 	})
 })
 
-// watcherHeartbeat is a heartbeat of an entry that watches the store.
+// watcherHeartbeat returns a heartbeat of a gateway that watches the store. away is set if the
+// store does not respond to it.
 func watcherHeartbeat(name string, away bool) member.Heartbeat {
 	b := newHeartbeat(name, 1, 1, nil)
 	b.Watching, b.Away = true, away
 	return b
 }
 
-var _ = Describe("The entries that watch the store", func() {
+var _ = Describe("Gateways that watch the store", func() {
 	var t *member.Table
 	BeforeEach(func() { t = member.NewTable(member.Entry{Name: "m"}) })
 
 	It("are the first two of a zone", func() {
-		Expect(t.ShouldWatch()).To(BeTrue(), "alone")
+		Expect(t.ShouldWatch()).To(BeTrue(), "the only gateway")
 		t.HandleHeartbeat(newHeartbeat("a", 1, 1, nil), now)
 		t.HandleHeartbeat(newHeartbeat("z", 1, 1, nil), now)
 		Expect(t.ShouldWatch()).To(BeTrue())
@@ -147,7 +148,7 @@
 		t.HandleHeartbeat(newHeartbeat("b", 1, 1, nil), now)
 		Expect(t.ShouldWatch()).To(BeFalse())
 	})
-	It("are six in all, or one in each zone where there are more", func() {
+	It("are six in total, or one in each zone if there are more than six zones", func() {
 		for _, c := range []struct {
 			zones int
 			want  []int
@@ -162,7 +163,7 @@
 			Expect(got).To(Equal(c.want), "%d zones", c.zones)
 		}
 	})
-	It("are fewer in a zone where there are many zones, and the next takes the place of one", func() {
+	It("are fewer per zone with many zones, and are replaced on failure", func() {
 		for _, zone := range []string{"b", "c", "d", "e"} {
 			far := newHeartbeat("far-"+zone, 1, 1, nil)
 			far.Entry.Zone = zone
@@ -185,9 +186,9 @@
 		Expect(last.ShouldWatch()).To(BeFalse())
 		near.Away, near.Sequence = true, 2
 		last.HandleHeartbeat(near, now)
-		Expect(last.ShouldWatch()).To(BeTrue(), "the store does not answer the one before")
+		Expect(last.ShouldWatch()).To(BeTrue(), "the store does not respond to the preceding gateway")
 	})
-	It("make room for others when the store does not answer them, for a few", func() {
+	It("are replaced while the store does not respond to them, up to a limit", func() {
 		t.HandleHeartbeat(watcherHeartbeat("a", false), now)
 		t.HandleHeartbeat(watcherHeartbeat("b", true), now)
 		Expect(t.ShouldWatch()).To(BeTrue())
@@ -202,12 +203,12 @@
 		Expect(t.ShouldWatch()).To(BeFalse())
 		Expect(t.Watchers(false)).To(Equal(4))
 	})
-	It("are followed by one that the silent leave behind", func() {
+	It("are replaced when they fall silent", func() {
 		t.HandleHeartbeat(watcherHeartbeat("a", false), now)
 		t.HandleHeartbeat(watcherHeartbeat("b", false), now)
 		Expect(t.ShouldWatch()).To(BeFalse())
 		t.Expire(afterMS(901))
 		Expect(t.ShouldWatch()).To(BeTrue())
-		Expect(t.StoreLost()).To(BeFalse(), "nobody says so")
+		Expect(t.StoreLost()).To(BeFalse(), "no gateway reports it")
 	})
 })
--- a/member/news_test.go
+++ b/member/news_test.go
@@ -11,10 +11,11 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// fatalRequest is a request under which endpoints end.
+// fatalRequest is a request that makes endpoints terminate.
 var fatalRequest = &poison.Request{Method: "POST", URI: "/go", Account: "acme", Body: []byte("fatal")}
 
-// reportFailures makes an endpoint end under the request at each of three gateways.
+// reportFailures makes each of three gateways observe that an endpoint terminated during the
+// request.
 func reportFailures(nodes []*node) {
 	for i := range 3 {
 		at := nodes[i*(len(nodes)-1)/2]
@@ -33,12 +34,13 @@
 	return count
 }
 
-// propagationCases are fleets, and within what time all of one know what one of them tells.
+// propagationCases are fleets with the time within which information from one gateway reaches
+// all.
 var propagationCases = []struct {
 	size int
 	loss float64
-	// within is a way of some milliseconds and a wait of 20 ms for each step, of which there
-	// are three by relays; what is lost comes with the next heartbeat.
+	// within allows some milliseconds of transit and a delay of 20 ms for each hop, of which
+	// there are three with relays. Lost information arrives with the next heartbeat.
 	within time.Duration
 }{
 	{6, 0, 50 * time.Millisecond},
@@ -48,8 +50,8 @@
 	{39, 0.05, 600 * time.Millisecond},
 }
 
-// Copies of a request come to many gateways within tens of milliseconds. Each that has not
-// heard of its ends sends it to one endpoint more.
+// Copies of a request reach many gateways within tens of milliseconds. Each gateway that has
+// not heard of the terminated endpoints would send the request to one more.
 func TestEndsUnderARequestAreKnownByAllSoon(t *testing.T) {
 	for _, c := range propagationCases {
 		t.Run(fmt.Sprintf("%d gateways, loss %g", c.size, c.loss), func(t *testing.T) {
@@ -65,7 +67,8 @@
 	}
 }
 
-// A gateway that was cut off or has just started is told before it counts as in touch.
+// A gateway that was partitioned or has just started learns of quarantined requests before it
+// counts as connected.
 func TestWhoWasCutOffIsToldOfQuarantinedRequests(t *testing.T) {
 	for _, size := range []int{6, 39} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -82,7 +85,7 @@
 				f.mu.Lock()
 				f.blocked = nil
 				f.mu.Unlock()
-				time.Sleep(2500 * time.Millisecond) // of the platform's contact time of 3 s
+				time.Sleep(2500 * time.Millisecond) // within the platform's contact time of 3 s
 				f.Expect(quarantinedBy(nodes)).To(Equal(size))
 			})
 		})
--- a/member/plan.go
+++ b/member/plan.go
@@ -9,22 +9,22 @@
 	"github.com/silverdeck/silverdeck/mirror"
 )
 
-// outgoing is a message and the addresses that get it.
+// outgoing is a message and its destination addresses.
 type outgoing struct {
 	addrs   []string
 	message message
 }
 
-// sentState is what this gateway told last, from which follows what it can leave out.
+// sentState is the state that this gateway sent last. It determines what a heartbeat may omit.
 type sentState struct {
 	copies  map[string]mirror.Version
 	member  Member
 	changes uint64
-	// fullLeft is how many more heartbeats tell everything.
+	// fullLeft is the number of full heartbeats still to be sent after a change.
 	fullLeft int
 }
 
-// plan returns what this gateway sends now. own is its heartbeat.
+// plan returns the messages to send now. own is this gateway's heartbeat.
 func (t *Table) plan(own Heartbeat, now time.Time) []outgoing {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -32,18 +32,18 @@
 	if !t.usesRelays() {
 		return []outgoing{{addrs: t.peerAddrs(), message: message{Heartbeat: &own}}}
 	}
-	beat := own
+	heartbeat := own
 	if !t.needsFull(&own) {
-		beat = own.toBrief()
+		heartbeat = own.toBrief()
 	}
 	if t.isRelay() {
-		return t.relayPlan(&own, beat, now)
+		return t.relayPlan(&own, heartbeat, now)
 	}
-	return []outgoing{{addrs: addrsOf(t.zoneRelays(t.self.Zone)), message: message{Heartbeat: &beat}}}
+	return []outgoing{{addrs: addrsOf(t.zoneRelays(t.self.Zone)), message: message{Heartbeat: &heartbeat}}}
 }
 
-// needsFull returns whether the next heartbeat leaves nothing out: for a few after each
-// change, and now and then. The caller holds the lock.
+// needsFull returns whether the next heartbeat must be full, as the first few after each change
+// and every fullHeartbeatEvery-th are. The caller must hold t.mu.
 func (t *Table) needsFull(own *Heartbeat) bool {
 	t.liveMembers()
 	if own.member() != t.lastSent.member || t.changes != t.lastSent.changes || !maps.Equal(own.Copies, t.lastSent.copies) {
@@ -56,16 +56,16 @@
 	return own.Sequence%fullHeartbeatEvery == 0
 }
 
-// relayPlan returns what a relay sends: to the other relay of its zone its own heartbeat
-// and the digest of everybody, to the zone's others that digest, and to the relays of other
-// zones the digest of its own zone. The caller holds the lock.
-func (t *Table) relayPlan(own *Heartbeat, beat Heartbeat, now time.Time) []outgoing {
+// relayPlan returns the messages of a relay: its heartbeat and the digest of all gateways to
+// the zone's other relay, the digest of all gateways to the rest of the zone, and the digest of
+// its own zone to the relays of other zones. The caller must hold t.mu.
+func (t *Table) relayPlan(own *Heartbeat, heartbeat Heartbeat, now time.Time) []outgoing {
 	t.ownRoll.update(t.reportedMembers(own), now)
 	roll := t.ownRoll.summary()
 	withLoads := own.Sequence%digestLoadsEvery == 0
 	zone := t.zoneTotals(own)
-	whole := t.fleetTotals(zone)
-	bare := beat.withoutEndpoints()
+	fleet := t.fleetTotals(zone)
+	reduced := heartbeat.withoutEndpoints()
 	var out []outgoing
 	relays := addrsOf(t.zoneRelays(t.self.Zone))
 	for _, e := range t.allEntries() {
@@ -74,11 +74,13 @@
 		}
 		d := &Digest{Roll: roll}
 		if withLoads {
-			d.Loads = whole.excluding(t.lastHeartbeat(e.Name))
+			d.Loads = fleet.excluding(t.lastHeartbeat(e.Name))
 		}
-		m := message{Heartbeat: &bare, Digest: d}
-		if len(relays) == 0 || slices.Contains(relays, e.Peer) { // who is alone may be wrong
-			m.Heartbeat = &beat
+		m := message{Heartbeat: &reduced, Digest: d}
+		// If this gateway sees no other relay, it may be mistaken: all gateways of the zone then
+		// receive its loads.
+		if len(relays) == 0 || slices.Contains(relays, e.Peer) {
+			m.Heartbeat = &heartbeat
 		}
 		out = append(out, outgoing{addrs: []string{e.Peer}, message: m})
 	}
@@ -86,19 +88,20 @@
 	if withLoads {
 		d.Loads = zone.excluding(nil)
 	}
-	out = append(out, outgoing{addrs: t.farRelays(), message: message{Heartbeat: &bare, Digest: d}})
-	stranger := own.withoutEndpoints()
-	return append(out, outgoing{addrs: t.probeTargets(own.Sequence), message: message{Heartbeat: &stranger, Digest: d}})
+	out = append(out, outgoing{addrs: t.farRelays(), message: message{Heartbeat: &reduced, Digest: d}})
+	probe := own.withoutEndpoints()
+	return append(out, outgoing{addrs: t.probeTargets(own.Sequence), message: message{Heartbeat: &probe, Digest: d}})
 }
 
-// reportedMembers returns the members that a relay tells of. The caller holds the lock.
+// reportedMembers returns the members that this gateway reports as a relay. The caller must
+// hold t.mu.
 func (t *Table) reportedMembers(own *Heartbeat) map[string]Member {
 	out := t.directMembers()
 	out[t.self.Name] = own.member()
 	return out
 }
 
-// lastHeartbeat returns the last heartbeat of a gateway, or nil. The caller holds the lock.
+// lastHeartbeat returns the last heartbeat of a gateway, or nil. The caller must hold t.mu.
 func (t *Table) lastHeartbeat(name string) *Heartbeat {
 	if p := t.direct[name]; p != nil {
 		return &p.heartbeat
@@ -106,7 +109,7 @@
 	return nil
 }
 
-// zoneRelays returns the relays of a zone without this gateway. The caller holds the lock.
+// zoneRelays returns the relays of a zone except this gateway. The caller must hold t.mu.
 func (t *Table) zoneRelays(zone string) []Entry {
 	var out []Entry
 	for _, m := range Relays(t.zoneMembers(zone)) {
@@ -117,8 +120,7 @@
 	return out
 }
 
-// farRelays returns the addresses of the relays of all other zones. The caller holds the
-// lock.
+// farRelays returns the addresses of the relays of all other zones. The caller must hold t.mu.
 func (t *Table) farRelays() []string {
 	zones := map[string][]Member{}
 	for _, m := range t.liveMembers() {
@@ -135,8 +137,8 @@
 	return out
 }
 
-// probeTargets returns the addresses of a few gateways of other zones that are not alive, others
-// each turn. The caller holds the lock.
+// probeTargets returns the addresses of some gateways of other zones that are not alive, in
+// rotation by turn. The caller must hold t.mu.
 func (t *Table) probeTargets(turn uint64) []string {
 	var silent []Entry
 	for name, e := range t.allEntries() {
--- a/member/relay.go
+++ b/member/relay.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// relayState is what a relay told last.
+// relayState is the state received from a relay.
 type relayState struct {
 	heardAt time.Time
-	// firstHeardAt is when it was first heard as a relay.
+	// firstHeardAt is the time of its first digest.
 	firstHeardAt time.Time
-	// fresh is set while the relay is alive, settled once all of its zone have had time to
-	// report to it.
+	// fresh is set while the relay is alive, settled once all gateways of its zone have had
+	// time to report to it.
 	fresh, settled bool
 	zone           string
 	life           uint64
-	// roll is who is alive by its word; told is the hash that it told last.
+	// roll is the relay's membership list as known here, reportedHash the hash in its last
+	// digest. They differ while changes are missing.
 	roll         *roll
 	reportedHash uint64
-	// requestedAt is when it was last asked for its whole roll.
+	// requestedAt is when the relay's full list was last requested.
 	requestedAt time.Time
 	loads       relayLoads
 }
 
-// relayLoads are Loads as they were read.
+// relayLoads are decoded Loads.
 type relayLoads struct {
 	covers             int
 	inFlight, suspects keyCounts
 }
 
-// applyDigest takes in what the relay of a heartbeat tells of others. The caller holds the
-// lock.
+// applyDigest records the digest of the relay from. The caller must hold t.mu.
 func (t *Table) applyDigest(from Entry, d *Digest, now time.Time) {
 	r := t.relays[from.Name]
 	if r == nil || r.life != from.Life {
@@ -46,7 +46,8 @@
 	}
 }
 
-// RelaysToSync returns the relays whose whole roll is to be asked for now, and notes that it is.
+// RelaysToSync returns the relays whose full membership list is to be requested now, and
+// records the request.
 func (t *Table) RelaysToSync(now time.Time) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,7 +63,7 @@
 	return out
 }
 
-// SetRoll takes in the whole roll of a relay.
+// SetRoll replaces the membership list of a relay.
 func (t *Table) SetRoll(from Entry, members []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,7 +78,7 @@
 	t.invalidate()
 }
 
-// FullRoll returns all members of the roll that this gateway tells as a relay.
+// FullRoll returns all members of the list that this gateway sends as a relay.
 func (t *Table) FullRoll() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,7 +89,8 @@
 	return out
 }
 
-// expireRelays forgets what relays told that have been silent. The caller holds the lock.
+// expireRelays updates the state of relays that have been silent and removes it after
+// rollRetention. The caller must hold t.mu.
 func (t *Table) expireRelays(now time.Time) {
 	for name, r := range t.relays {
 		fresh := now.Sub(r.heardAt) <= AliveTime
@@ -104,9 +106,9 @@
 	}
 }
 
-// forEachRelayed calls f with the members that each relay that counts told of: those that are
-// alive, and those that are silent where no other has told of their zone for long enough.
-// Of the latter none vouches for another. The caller holds the lock.
+// forEachRelayed calls f with the members that relays report. Lists of silent relays are used
+// only if no settled relay covers their zone, and never to keep another silent relay alive. The
+// caller must hold t.mu.
 func (t *Table) forEachRelayed(f func(r *relayState, m Member)) {
 	covered := map[string]bool{}
 	for _, r := range t.relays {
@@ -126,16 +128,17 @@
 	}
 }
 
-// isSilentRelay returns whether a gateway told as a relay and does not any more. The caller holds
-// the lock.
+// isSilentRelay returns whether a gateway has sent digests but is no longer alive as a relay.
+// The caller must hold t.mu.
 func (t *Table) isSilentRelay(name string) bool {
 	r := t.relays[name]
 	return r != nil && !r.fresh
 }
 
-// directMembers returns who is alive by what this gateway heard itself: of its own zone by
-// their heartbeats, of others by their relays. Only that is told on, so that no two relays
-// keep a dead gateway alive by each other's word. The caller holds the lock.
+// directMembers returns the live members from first-hand information: in this gateway's zone
+// from heartbeats, in other zones from the zone's relays. A relay forwards only these, so that
+// two relays can't keep a dead gateway alive by repeating each other's reports. The caller must
+// hold t.mu.
 func (t *Table) directMembers() map[string]Member {
 	out := map[string]Member{}
 	t.forEachRelayed(func(r *relayState, m Member) {
@@ -149,8 +152,8 @@
 	return out
 }
 
-// liveMembers returns who is liveMembers: by what this gateway heard itself, and by the word of the
-// relays of its zone. The caller holds the lock and does not change the result.
+// liveMembers returns the live members: directMembers and those that relays of this gateway's
+// zone report. The caller must hold t.mu and must not modify the result.
 func (t *Table) liveMembers() map[string]Member {
 	if t.live != nil {
 		return t.live
@@ -166,8 +169,8 @@
 	return out
 }
 
-// zoneMembers returns those of zone that are alive, with this gateway if it is of zone.
-// The caller holds the lock.
+// zoneMembers returns the live members of a zone, including this gateway if it belongs to the
+// zone. The caller must hold t.mu.
 func (t *Table) zoneMembers(zone string) []Member {
 	var out []Member
 	for _, m := range t.liveMembers() {
@@ -192,7 +195,7 @@
 	return slices.ContainsFunc(Relays(t.zoneMembers(t.self.Zone)), func(m Member) bool { return m.Entry.Name == t.self.Name })
 }
 
-// usesRelays returns whether heartbeats go by relays. The caller holds the lock.
+// usesRelays returns whether heartbeats go through relays. The caller must hold t.mu.
 func (t *Table) usesRelays() bool {
 	if !t.self.Relays {
 		return false
--- a/member/roll.go
+++ b/member/roll.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// roll is a set of members by name, with its hash: that of each member, by exclusive or.
+// roll is a membership list by name. Its hash is the exclusive or of the hashes of its members.
 type roll struct {
 	members map[string]Member
 	hash    uint64
@@ -14,7 +14,7 @@
 	return &roll{members: map[string]Member{}}
 }
 
-// put adds m, or puts it in the place of what was known, and returns whether that is news.
+// put adds or replaces m and returns whether the list changed.
 func (r *roll) put(m Member) bool {
 	old, found := r.members[m.Entry.Name]
 	if found && old == m {
@@ -35,7 +35,7 @@
 	return found
 }
 
-// apply takes in changes and returns whether there was news among them.
+// apply applies changes and returns whether the list changed.
 func (r *roll) apply(changes []Change) bool {
 	news := false
 	for _, c := range changes {
@@ -48,13 +48,13 @@
 	return news
 }
 
-// trackedRoll is a roll that a relay tells others of, with what changed of late.
+// trackedRoll is the membership list that a relay sends, with its recent changes.
 type trackedRoll struct {
 	roll
 	changes map[string]timedChange
 }
 
-// timedChange is a member's last timedChange.
+// timedChange is the last change of a member, with its time.
 type timedChange struct {
 	Change
 	at time.Time
@@ -64,7 +64,7 @@
 	return &trackedRoll{roll: *newRoll(), changes: map[string]timedChange{}}
 }
 
-// update makes members the roll.
+// update replaces the list by members and records the differences.
 func (l *trackedRoll) update(members map[string]Member, now time.Time) {
 	for name, old := range l.members {
 		if _, still := members[name]; !still {
@@ -85,8 +85,8 @@
 	}
 }
 
-// summary returns what is told of the roll: no changes where they are too many, since who
-// sees another hash asks for all of it.
+// summary returns the description of the list that is sent in a digest. It omits the changes if
+// there are too many; receivers request the full list when the hash differs from theirs.
 func (l *trackedRoll) summary() Roll {
 	out := Roll{Hash: l.hash}
 	if len(l.changes) > maxDigestChanges {
--- a/member/rules.go
+++ b/member/rules.go
@@ -6,61 +6,65 @@
 	"time"
 )
 
-// Who sends to whom.
+// Topology.
 const (
-	// maxMeshSize is how many gateways send heartbeats to each other without relays: with four
-	// in each of three zones a relay sends to seven others, who would be heard a step
-	// later. Each then sends 55 heartbeats a second of some 600 bytes, 33 KB, which is over
-	// the 13 that the project's brief allows. The sites of 6 to 9 gateways were not played
-	// with relays.
+	// maxMeshSize is the largest number of gateways that use a full mesh instead of relays.
+	// With four gateways in each of three zones a relay would send to seven others, and loads
+	// would arrive one hop later. At this size each gateway sends 55 heartbeats per
+	// second of about 600 bytes, 33 KB/s, which exceeds the 13 KB/s allowed for control
+	// traffic. Relays have not been tried on sites of 6 to 9 gateways.
 	maxMeshSize = 12
-	// relaysPerZone is how many gateways of a zone are relays: the loss of one costs
-	// nobody what the other tells.
+	// relaysPerZone is the number of relays in a zone. With two, the loss of one loses no
+	// information.
 	relaysPerZone = 2
-	// probesPerHeartbeat is how many of the gateways that are listed and not alive a relay tries each
-	// time; by turns it tries all. Who starts while the store is away knows nobody.
+	// probesPerHeartbeat is how many listed gateways that are not alive a relay probes with
+	// each heartbeat, in rotation. A gateway that starts while the store is unavailable knows
+	// no other and depends on these probes.
 	probesPerHeartbeat = 4
-	// fullHeartbeatEvery is how many heartbeats there are from one that tells everything to the
-	// next: a second. Who missed one waits for no longer.
+	// fullHeartbeatEvery is the number of heartbeats from one full heartbeat to the next: one
+	// second, which bounds the delay for a receiver that missed one.
 	fullHeartbeatEvery = 5
-	// fullHeartbeatsAfterChange is how many tell everything after a change: two may be lost.
+	// fullHeartbeatsAfterChange is the number of full heartbeats after a change. Two of them
+	// may be lost.
 	fullHeartbeatsAfterChange = 3
-	// digestLoadsEvery is how many digests there are from one with loads to the next. The two
-	// relays of a zone are not in step, so that loads are as old as with one in each.
+	// digestLoadsEvery is the number of digests from one with loads to the next. The two relays
+	// of a zone send at different times, so loads are as recent as with one relay that sends
+	// them in each digest.
 	digestLoadsEvery = 2
 )
 
-// Times of digests.
+// Digest timing.
 const (
-	// rollRetention is for how long the roll of a relay that has gone silent is used where no
-	// other tells of its zone: both relays may die at once, and the next two are known
-	// after AliveTime. Without it the whole zone would count as dead meanwhile.
+	// rollRetention is how long the membership list of a silent relay is used if no other relay
+	// covers its zone. Both relays of a zone may die at once, and their successors are known
+	// only after AliveTime; without the retention the whole zone would count as dead meanwhile.
 	rollRetention = 2 * AliveTime
-	// settleTime is how long all gateways of a zone take to report to a new relay, as they
-	// do once they know of it: what it tells before that lacks some who are alive.
+	// settleTime is how long it takes until all gateways of a zone report to a new relay, which
+	// they do once they know of it. Before that its membership list may lack live gateways.
 	settleTime = 3 * Interval
-	// changeRetention is for how long a change of a roll is told: five digests, of which four
-	// may be lost.
+	// changeRetention is how long a membership change is repeated: in five digests, four of
+	// which may be lost.
 	changeRetention = time.Second
-	// maxDigestChanges is how many changes a digest tells. Where more come at once, as when many
-	// gateways die, the whole roll is asked for, which is smaller than that many changes in
-	// each of five digests.
+	// maxDigestChanges is the largest number of changes in a digest. If more occur at once, as
+	// when many gateways die, receivers request the full list, which is smaller than that many
+	// changes in each of five digests.
 	maxDigestChanges = 16
-	// rollRequestInterval is the time between two questions for a relay's whole roll.
+	// rollRequestInterval is the minimum time between two requests for a relay's full
+	// membership list.
 	rollRequestInterval = 300 * time.Millisecond
 )
 
-// Member is what is known of a gateway that is alive.
+// Member is the state of a live gateway.
 type Member struct {
 	Entry Entry `json:"entry"`
-	// Ready, Watching and Away are as in its heartbeat.
+	// Ready, Watching and Away are as in Heartbeat.
 	Ready    bool `json:"ready,omitempty"`
 	Watching bool `json:"watching,omitempty"`
 	Away     bool `json:"away,omitempty"`
 }
 
-// Relays returns the relays among the gateways of one zone that are alive, best first:
-// those that are ready, by name. It sorts members.
+// Relays returns the relays among the live gateways of one zone: the first relaysPerZone by
+// name, gateways that are ready before the others. It sorts members in place.
 func Relays(members []Member) []Member {
 	slices.SortFunc(members, func(a, b Member) int {
 		if a.Ready != b.Ready {
@@ -74,8 +78,8 @@
 	return members[:min(relaysPerZone, len(members))]
 }
 
-// UsesRelays returns whether heartbeats go by relays, where so many gateways are known,
-// this one among them, and some of those that are alive know no relays.
+// UsesRelays returns whether heartbeats go through relays. gateways is the number of known
+// gateways, this one included; someOlder is set if a live gateway does not support relays.
 func UsesRelays(gateways int, someOlder bool) bool {
 	return gateways > maxMeshSize && !someOlder
 }
--- a/member/service.go
+++ b/member/service.go
@@ -6,7 +6,7 @@
 	"github.com/silverdeck/silverdeck/peerconn"
 )
 
-// RollService tells other gateways the whole roll of this one, by net/rpc under
+// RollService serves this gateway's full membership list to other gateways over net/rpc, under
 // RollServiceName. It is safe for concurrent use.
 type RollService struct {
 	table *Table
@@ -18,12 +18,13 @@
 // methodRoll is the net/rpc name of RollService.Roll.
 const methodRoll = RollServiceName + ".Roll"
 
-// NewRollService returns the service of table.
+// NewRollService returns a RollService that reads from table.
 func NewRollService(table *Table) *RollService {
 	return &RollService{table: table}
 }
 
-// RollRequest asks for the roll. Gateway is who asks, for the person who reads a trace.
+// RollRequest requests the membership list. Gateway names the requester and serves only for
+// traces.
 type RollRequest struct {
 	Gateway string
 }
@@ -33,13 +34,13 @@
 	Members []Member
 }
 
-// Roll gives the whole roll.
+// Roll returns the full membership list.
 func (s *RollService) Roll(_ RollRequest, reply *RollReply) error {
 	reply.Members = s.table.FullRoll()
 	return nil
 }
 
-// FetchRoll asks the gateway at addr for its whole roll; self asks.
+// FetchRoll requests the full membership list of the gateway at addr on behalf of gateway self.
 func FetchRoll(ctx context.Context, pool *peerconn.Pool, addr, self string) ([]Member, error) {
 	var reply RollReply
 	if err := pool.Call(ctx, addr, methodRoll, RollRequest{Gateway: self}, &reply); err != nil {
--- a/member/sums.go
+++ b/member/sums.go
@@ -2,18 +2,20 @@
 
 import "github.com/silverdeck/silverdeck/roster"
 
-// loadView are what all other gateways told of endpoints, as far as this one knows: its own
-// view, or that of a relay of its zone, whichever covers more gateways. They are not mixed,
-// since each is whole.
+// loadView is a consistent view of the endpoint loads of all other gateways: either this
+// gateway's own view or that of a relay of its zone, whichever covers more gateways. The two
+// are never mixed, since each is complete in itself.
 type loadView struct {
 	covers int
-	// direct is set for the own view: then what was heard directly is counted as well.
+	// direct is set for this gateway's own view, to which the heartbeats it received
+	// contribute.
 	direct bool
 	remote []*relayLoads
 }
 
-// bestView returns the sums to go by. A relay that hears nobody itself, as behind a cut of one
-// direction, covers few, and the other one's are taken. The caller holds the lock.
+// bestView selects the view to use. A relay that receives nothing, as in a one-way partition,
+// covers few gateways, so the view of the zone's other relay is selected. The caller must hold
+// t.mu.
 func (t *Table) bestView() loadView {
 	own := t.ownView()
 	var relay *relayState
@@ -31,8 +33,8 @@
 	return loadView{covers: relay.loads.covers, remote: []*relayLoads{&relay.loads}}
 }
 
-// preferred returns whether the loads that relay r told are to be gone by rather than those
-// of s: that cover more gateways, or are newer.
+// preferred returns whether the loads from relay r take precedence over those from s: they
+// cover more gateways or are more recent.
 func preferred(r, s *relayState) bool {
 	if r.loads.covers != s.loads.covers {
 		return r.loads.covers > s.loads.covers
@@ -40,25 +42,25 @@
 	return r.heardAt.After(s.heardAt)
 }
 
-// ownView returns the sums of what this gateway heard itself: heartbeats, and for each
-// other zone the loads of one of its relays. The caller holds the lock.
+// ownView returns the view from the heartbeats that this gateway received and, for each other
+// zone, the loads from one of its relays. The caller must hold t.mu.
 func (t *Table) ownView() loadView {
 	out := loadView{direct: true}
-	zones := map[string]*relayState{}
+	byZone := map[string]*relayState{}
 	for _, r := range t.relays {
 		if r.zone == t.self.Zone || !r.fresh || r.loads.covers == 0 {
 			continue
 		}
-		if known := zones[r.zone]; known == nil || preferred(r, known) {
-			zones[r.zone] = r
+		if known := byZone[r.zone]; known == nil || preferred(r, known) {
+			byZone[r.zone] = r
 		}
 	}
 	for _, p := range t.direct {
-		if zones[p.heartbeat.Entry.Zone] == nil {
+		if byZone[p.heartbeat.Entry.Zone] == nil {
 			out.covers++
 		}
 	}
-	for _, r := range zones {
+	for _, r := range byZone {
 		out.covers += r.loads.covers
 		out.remote = append(out.remote, &r.loads)
 	}
@@ -81,7 +83,7 @@
 	return false
 }
 
-// InFlight returns how many requests the other gateways have at an endpoint.
+// InFlight returns the number of requests that other gateways have in flight at an endpoint.
 func (t *Table) InFlight(l roster.Life) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,8 +98,8 @@
 	return n
 }
 
-// currentView returns the sums to go by, which are worked out once after each heartbeat.
-// The caller holds the lock.
+// currentView returns the view to use. It is cached until the next heartbeat or Expire. The caller must
+// hold t.mu.
 func (t *Table) currentView() *loadView {
 	if t.view == nil {
 		s := t.bestView()
@@ -106,14 +108,14 @@
 	return t.view
 }
 
-// loadTotals is what a relay tells others of endpoints.
+// loadTotals holds the endpoint loads that a relay aggregates for others.
 type loadTotals struct {
 	covers             int
 	inFlight, suspects keyCounts
 }
 
-// zoneTotals returns the sums of the gateways of this zone, this one among them, whose
-// heartbeat is own. The caller holds the lock.
+// zoneTotals returns the totals of this gateway's zone, including this gateway, whose heartbeat
+// is own. The caller must hold t.mu.
 func (t *Table) zoneTotals(own *Heartbeat) loadTotals {
 	out := loadTotals{covers: 1, inFlight: keyCounts{}, suspects: keyCounts{}}
 	ownCounts, ownSuspects := counts{}, counts{}
@@ -130,8 +132,8 @@
 	return out
 }
 
-// fleetTotals returns the sums of all gateways, as far as this one heard itself. The caller
-// holds the lock.
+// fleetTotals returns the totals of all gateways as received by this one. The caller must hold
+// t.mu.
 func (t *Table) fleetTotals(zone loadTotals) loadTotals {
 	far := t.ownView()
 	out := loadTotals{covers: far.covers + 1, inFlight: keyCounts{}, suspects: keyCounts{}}
@@ -144,8 +146,8 @@
 	return out
 }
 
-// excluding returns the sums for a gateway, excluding what it told itself; b is its heartbeat,
-// nil if there was none.
+// excluding returns the totals for a receiver, without its own contribution. b is the
+// receiver's last heartbeat, or nil if there was none.
 func (s loadTotals) excluding(b *Heartbeat) *Loads {
 	if b == nil {
 		return &Loads{Covers: s.covers, InFlight: s.inFlight.pack(), Suspects: s.suspects.pack()}
--- a/member/table.go
+++ b/member/table.go
@@ -7,48 +7,47 @@
 	"time"
 )
 
-// peerState is what another gateway told last.
+// peerState is the last heartbeat of another gateway.
 type peerState struct {
 	heartbeat Heartbeat
 	heardAt   time.Time
 }
 
-// Table is what a gateway knows of the others. It is safe for concurrent use.
+// Table holds what a gateway knows of the other gateways. It is safe for concurrent use.
 type Table struct {
 	self Entry
 
 	mu            sync.Mutex
 	listedEntries map[string]Entry
-	// listLoaded is set once the store's list was read, selfListed if this gateway stood in it.
+	// listLoaded is set once the store's list of gateways was read, selfListed if it contains
+	// this gateway.
 	listLoaded, selfListed bool
-	// direct is what other gateways told themselves, by name.
+	// direct holds the last heartbeats received from other gateways, by name.
 	direct map[string]*peerState
-	// inFlight sums their requests in progress by endpoint, suspects counts those of them
-	// that suspect it.
+	// inFlight sums the in-flight requests in them by endpoint, suspects counts the gateways
+	// that suspect an endpoint.
 	inFlight, suspects counts
-	// relays is what relays told of others, by the relay's name; see relay.go.
+	// relays holds the state received from relays, by the relay's name; see relay.go.
 	relays map[string]*relayState
-	// live are all that are alive, by name, nil when they are to be worked out anew;
-	// see alive. sums are what they told of endpoints, likewise; see currentSums.
+	// live caches liveMembers, view caches currentView. Both are nil while invalid.
 	live map[string]Member
 	view *loadView
-	// entries are the members and entries others that are known of, nil when they are to be worked
-	// out anew; see everybody.
+	// entries caches allEntries; it is nil while invalid.
 	entries map[string]Entry
-	// reported are the members of which Arrived and Expire have told, or are to tell:
-	// arrived and lost.
+	// reported holds the members at the last call of recordChanges. joined and lost are the
+	// changes that Joined and Expire have not returned yet.
 	reported     map[string]bool
 	joined, lost []string
-	// changes counts how often the members changed.
+	// changes counts the changes of the membership.
 	changes uint64
-	// ownRoll is the roll that this gateway tells as a relay.
+	// ownRoll is the membership list that this gateway sends as a relay.
 	ownRoll *trackedRoll
-	// lastSent is what this gateway told last; see plan.
+	// lastSent is the state that this gateway sent last; see needsFull.
 	lastSent sentState
 	ready    bool
 }
 
-// NewTable returns the table of self.
+// NewTable returns an empty table of the gateway self.
 func NewTable(self Entry) *Table {
 	return &Table{
 		self:          self,
@@ -62,7 +61,8 @@
 	}
 }
 
-// SetListed replaces the list of gateways that are to be told of this one.
+// SetListed replaces the list of gateways that the store holds. Heartbeats are sent to these
+// gateways also while they are not alive.
 func (t *Table) SetListed(entries []Entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,20 +78,20 @@
 	}
 }
 
-// invalidate makes what follows from who is known and alive be worked out anew. The caller holds
-// the lock.
+// invalidate drops the caches that depend on the known and the live gateways. The caller must
+// hold t.mu.
 func (t *Table) invalidate() {
 	t.live, t.entries = nil, nil
 }
 
-// HandleHeartbeat takes in a heartbeat and returns whether it is new.
+// HandleHeartbeat records a heartbeat and returns whether it is new.
 func (t *Table) HandleHeartbeat(b Heartbeat, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.record(b, now)
 }
 
-// HandleRelayHeartbeat takes in a relay's heartbeat with its digest, and returns whether they are new.
+// HandleRelayHeartbeat records a relay's heartbeat and digest and returns whether they are new.
 func (t *Table) HandleRelayHeartbeat(b Heartbeat, d Digest, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,7 +113,7 @@
 	}
 	if b.Brief {
 		if !sameLife {
-			return false // the next one that is whole comes within a second
+			return false // the next full heartbeat follows within a second
 		}
 		b = b.fromBrief(&old.heartbeat)
 	}
@@ -129,8 +129,8 @@
 	return true
 }
 
-// Expire forgets what gateways that are no longer alive told of endpoints, and
-// returns their names.
+// Expire removes gateways that are no longer alive, with the endpoint loads that they sent, and
+// returns the names of the gateways lost since the last call.
 func (t *Table) Expire(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,7 +151,7 @@
 	return dead
 }
 
-// Joined returns the gateways that are alive anew since it was last called.
+// Joined returns the names of the gateways that became alive since the last call.
 func (t *Table) Joined() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,7 +161,7 @@
 	return out
 }
 
-// recordChanges notes who has come and gone. The caller holds the lock.
+// recordChanges records which gateways joined and which were lost. The caller must hold t.mu.
 func (t *Table) recordChanges(members map[string]Member) {
 	t.changes++
 	for name := range members {
@@ -178,8 +178,8 @@
 	}
 }
 
-// Changes counts how often what is known of members changed: what follows from them alone
-// need not be worked out anew while it stays.
+// Changes returns a counter that increases whenever the membership changes. Callers use it to
+// avoid recomputing what depends on the members alone.
 func (t *Table) Changes() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -187,7 +187,7 @@
 	return t.changes
 }
 
-// countInto adds what the heartbeat says of endpoints to counts, or takes it away.
+// countInto adds the heartbeat's endpoint loads to the counts, multiplied by sign.
 func (b *Heartbeat) countInto(inFlight, suspects counts, sign int) {
 	for id, n := range b.InFlight {
 		inFlight.add(b.life(id), sign*n)
@@ -197,7 +197,7 @@
 	}
 }
 
-// Live returns the gateways that are alive and ready, without this one.
+// Live returns the other gateways that are alive and ready, sorted by name.
 func (t *Table) Live() []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -211,8 +211,8 @@
 	return out
 }
 
-// PeerAddrs returns the peer addresses of all gateways that were ever told of and
-// of those that are alive.
+// PeerAddrs returns the peer addresses of all other known gateways: those that the store or a
+// relay lists and those that are alive.
 func (t *Table) PeerAddrs() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -228,8 +228,8 @@
 	return slices.Compact(out)
 }
 
-// allEntries returns all gateways that the store lists, those that any relay tells of and
-// those that are alive, by name. The caller holds the lock and does not change the result.
+// allEntries returns the gateways that the store lists, those that any relay reports and those
+// that are alive, by name. The caller must hold t.mu and must not modify the result.
 func (t *Table) allEntries() map[string]Entry {
 	if t.entries != nil {
 		return t.entries
@@ -246,8 +246,8 @@
 	return out
 }
 
-// KnownSize returns how many gateways there are at most, with this one: those that
-// the store lists and those that are alive. It is 0 until the store's list is known.
+// KnownSize returns the number of known gateways, dead or alive and including this one, an
+// upper bound of the fleet's size. It is 0 until the store's list was read.
 func (t *Table) KnownSize() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -257,7 +257,7 @@
 	return len(t.allEntries()) + 1
 }
 
-// Size returns how many gateways are alive, with this one.
+// Size returns the number of live gateways, including this one.
 func (t *Table) Size() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/member/watch.go
+++ b/member/watch.go
@@ -7,23 +7,23 @@
 	"github.com/silverdeck/silverdeck/mirror"
 )
 
-// Who watches the store.
+// Limits on how many gateways watch the store.
 const (
-	// watchersPerZone is how many gateways of a zone watch the store for all of it, of those
-	// that it answers: one may die.
+	// watchersPerZone is how many gateways that the store responds to watch it for their zone.
+	// With two, one may fail.
 	watchersPerZone = 2
-	// watchersTotal is how many do in all zones, unless there are more zones: where the
-	// store turns a third of the VMs away without a word, all of six are among them in one
-	// case of a thousand. With two in each of five zones the store's calls grew with zones
-	// and not with what must be survived (docs/LARGE.md).
+	// watchersTotal is how many gateways watch the store in all zones together, unless there
+	// are more zones. If the store silently rejects a third of the VMs, all six are among them
+	// in one of a thousand cases. With two in each of five zones the number of store calls grew
+	// with the number of zones rather than with the failures to be survived (docs/LARGE.md).
 	watchersTotal = 6
-	// maxUnansweredWatchers is how many try to while the store answers none of them, so that an outage
-	// does not make all of them call.
+	// maxUnansweredWatchers is how many gateways of a zone try to watch while the store
+	// responds to none of them, so that an outage does not make all gateways call the store.
 	maxUnansweredWatchers = 4
 )
 
-// WatchersOfZone returns how many gateways of a zone watch the store for it. zones is how many
-// zones there are, and place that of the zone among them by name, 0 first.
+// WatchersOfZone returns how many gateways of a zone watch the store for it. zones is the
+// number of zones, and place the zone's rank among them by name, starting at 0.
 func WatchersOfZone(zones, place int) int {
 	if place < watchersTotal-zones {
 		return watchersPerZone
@@ -31,15 +31,15 @@
 	return 1
 }
 
-// Watches returns whether a gateway watches the store for its zone, where so many do.
-// before is how many gateways of the zone come before it by name, answered how many of
-// these the store answers.
+// Watches returns whether a gateway watches the store for its zone, which has the given number
+// of watchers. before is how many gateways of the zone precede it by name, and answered how
+// many of these the store responds to.
 func Watches(before, answered, watchers int) bool {
 	return answered < watchers && before < maxUnansweredWatchers
 }
 
-// watchers returns how many gateways of this zone watch the store, where all that there are
-// have these zones. The caller holds the lock.
+// watchers returns how many gateways of this zone watch the store. zones holds the zones of all
+// known gateways; the method adds this gateway's own. The caller must hold t.mu.
 func (t *Table) watchers(zones map[string]bool) int {
 	place := 0
 	for zone := range zones {
@@ -51,9 +51,8 @@
 	return WatchersOfZone(len(zones), place)
 }
 
-// ShouldWatch returns whether this gateway is to watch the store for those of its
-// zone. The first by name do; the next takes the place of one that the store does
-// not answer.
+// ShouldWatch returns whether this gateway has to watch the store for its zone. The first
+// gateways by name do; the next one takes over from one that the store does not respond to.
 func (t *Table) ShouldWatch() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,9 +71,10 @@
 	return Watches(before, answered, t.watchers(zones))
 }
 
-// FirstListed returns whether this gateway is one of the first of its zone by name that
-// the store lists, by a record of its own. It is to watch the store at once when it starts
-// and has not heard others yet: after a start of all nobody else does.
+// FirstListed returns whether this gateway is among the first of its zone by name in the
+// store's list, by its own record there. Such a gateway has to watch the store immediately at
+// its start, before it has heard others: after a simultaneous start of all gateways nobody else
+// does.
 func (t *Table) FirstListed() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,8 +89,7 @@
 	return t.selfListed && before < t.watchers(zones)
 }
 
-// Watchers returns how many gateways watch the store, with this one if watching
-// is set.
+// Watchers returns how many gateways watch the store, including this one if watching is set.
 func (t *Table) Watchers(watching bool) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,8 +105,7 @@
 	return n
 }
 
-// StoreLost returns whether the store answers none of the other gateways that
-// watch it, and there are some.
+// StoreLost returns whether other gateways watch the store and it responds to none of them.
 func (t *Table) StoreLost() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,10 +122,10 @@
 	return lost
 }
 
-// PeersWithNewer returns the peer addresses of gateways that have a newer copy of kind than mine,
-// of those that this one hears itself: where there are relays, these bring a copy into
-// their zone, and the others take it from them. Those of this gateway's zone come alone
-// where there are some.
+// PeersWithNewer returns the peer addresses of gateways whose copy of kind is newer than mine.
+// Only gateways heard directly count: relays bring a copy into their zone, and the zone's other
+// gateways take it from them. Gateways of this gateway's zone are preferred; others are
+// returned only if there are none.
 func (t *Table) PeersWithNewer(kind string, mine mirror.Version) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/member/wire.go
+++ b/member/wire.go
@@ -11,24 +11,25 @@
 	"github.com/silverdeck/silverdeck/wait"
 )
 
-// maxDatagram bounds a heartbeat, in bytes: the largest datagram of UDP.
+// maxDatagram is the largest size of a message in bytes, that of a UDP datagram.
 const maxDatagram = 64 << 10
 
-// rollRequestTimeout bounds a question for a whole roll, some tens of kilobytes: a link between
-// regions may be full.
+// rollRequestTimeout bounds a request for a full membership list. The list has some tens of
+// kilobytes, and the link between regions may be saturated.
 const rollRequestTimeout = time.Second
 
-// message is one datagram: a heartbeat, with a relay's also its digest, or a notice.
+// message is the content of one datagram: a heartbeat, from a relay along with a digest, or a
+// notice.
 type message struct {
 	Heartbeat *Heartbeat `json:"beat,omitempty"`
 	Notice    *Notice    `json:"notice,omitempty"`
 	Digest    *Digest    `json:"digest,omitempty"`
 }
 
-// Kind is what a datagram between gateways carries, for those who count.
+// Kind is the kind of a datagram between gateways, as used for traffic counters.
 type Kind string
 
-// The kinds of datagrams.
+// Kinds of datagrams.
 const (
 	KindHeartbeat Kind = "heartbeat"
 	// KindDigest is a heartbeat with a relay's digest.
@@ -43,42 +44,41 @@
 	return KindHeartbeat
 }
 
-// Handlers are what a Beater calls, each from a goroutine of the Beater's.
+// Handlers are the callbacks of a Heartbeater. They are called from its goroutines.
 type Handlers struct {
-	// NextHeartbeat returns the next heartbeat, without its number.
+	// NextHeartbeat returns the next heartbeat, without its sequence number.
 	NextHeartbeat func() Heartbeat
-	// AfterRound is called after each round, with the names of gateways that are no longer
+	// AfterRound is called after each round with the names of the gateways that are no longer
 	// alive.
 	AfterRound func(dead []string)
 	// OnHeartbeat is called after each new heartbeat of another gateway.
 	OnHeartbeat func()
-	// OnPoison is called with what a new heartbeat tells of requests under which endpoints
-	// ended; nil means that nobody wants it.
+	// OnPoison is called with the reports in a new heartbeat of requests during which endpoints
+	// terminated. It may be nil.
 	OnPoison func([]byte)
-	// OnAdvice is called with what a new heartbeat tells of endpoints' answers; nil means that
-	// nobody wants it.
+	// OnAdvice is called with the endpoints' statements in a new heartbeat. It may be nil.
 	OnAdvice func([]Advice)
 	// OnNotice is called with each notice.
 	OnNotice func(Notice)
-	// FetchRoll asks the relay at addr for its whole roll; see RollService.
+	// FetchRoll requests the full membership list of the relay at addr; see RollService.
 	FetchRoll func(ctx context.Context, addr string) ([]Member, error)
-	// OnSent hears of each message that was sent, of how many bytes and to how many gateways;
-	// nil means that nobody does.
+	// OnSent is called for each message sent, with its size and the number of receivers. It may
+	// be nil.
 	OnSent func(kind Kind, bytes, gateways int)
-	// Log takes lines about datagrams that can't be sent or read.
+	// Log receives lines about datagrams that can't be sent or decoded.
 	Log *log.Logger
 }
 
-// Heartbeater sends this gateway's heartbeats and takes those of others.
+// Heartbeater sends this gateway's heartbeats and receives those of others.
 type Heartbeater struct {
 	conn     net.PacketConn
 	table    *Table
 	handlers Handlers
-	// trigger asks for a heartbeat ahead of time.
+	// trigger requests a heartbeat ahead of schedule.
 	trigger chan struct{}
 }
 
-// NewHeartbeater returns a Beater on conn.
+// NewHeartbeater returns a Heartbeater that uses conn and closes it at the end of Run.
 func NewHeartbeater(conn net.PacketConn, table *Table, h Handlers) *Heartbeater {
 	if h.OnSent == nil {
 		h.OnSent = func(Kind, int, int) {}
@@ -92,34 +92,35 @@
 	return &Heartbeater{conn: conn, table: table, handlers: h, trigger: make(chan struct{}, 1)}
 }
 
-// SendSoon makes the next heartbeat come at once.
+// SendSoon requests a heartbeat ahead of the next tick, minHeartbeatInterval after Run takes the
+// request.
 func (b *Heartbeater) SendSoon() {
 	select {
 	case b.trigger <- struct{}{}:
-	default: // one is asked for already
+	default: // one is already pending
 	}
 }
 
-// Notify sends n to the gateways at addrs. It returns the first error; a notice
-// that is lost is made up for by the endpoint's record in the store.
+// Notify sends n to the gateways at addrs and returns the first error. A lost notice is
+// compensated for by the endpoint's record in the store.
 func Notify(conn net.PacketConn, addrs []string, n Notice) error {
 	_, err := send(conn, addrs, message{Notice: &n})
 	return err
 }
 
-// send sends m to all addrs. It returns its size in bytes and the first error.
+// send sends m to all addrs. It returns the message size in bytes and the first error.
 func send(conn net.PacketConn, addrs []string, m message) (int, error) {
 	data, err := json.Marshal(m)
 	if err != nil {
 		return 0, err
 	}
-	var first error
+	var firstErr error
 	for _, peer := range addrs {
-		if err := sendTo(conn, peer, data); err != nil && first == nil {
-			first = err
+		if err := sendTo(conn, peer, data); err != nil && firstErr == nil {
+			firstErr = err
 		}
 	}
-	return len(data), first
+	return len(data), firstErr
 }
 
 func sendTo(conn net.PacketConn, peer string, data []byte) error {
@@ -131,10 +132,10 @@
 	return err
 }
 
-// Run sends and takes heartbeats until ctx ends.
+// Run sends and receives heartbeats until ctx ends.
 func (b *Heartbeater) Run(ctx context.Context) {
 	go b.receive(ctx)
-	defer func() { _ = b.conn.Close() }() // ends receive
+	defer func() { _ = b.conn.Close() }() // makes receive return
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
 	var sequence uint64
@@ -154,28 +155,28 @@
 }
 
 func (b *Heartbeater) send(sequence uint64) {
-	beat := b.handlers.NextHeartbeat()
-	beat.Sequence = sequence
-	for _, p := range b.table.plan(beat, time.Now()) {
+	heartbeat := b.handlers.NextHeartbeat()
+	heartbeat.Sequence = sequence
+	for _, p := range b.table.plan(heartbeat, time.Now()) {
 		n, err := send(b.conn, p.addrs, p.message)
 		if err != nil {
-			b.handlers.Log.Debug("heartbeat not sent to all", "err", err)
+			b.handlers.Log.Debug("heartbeat not sent to all receivers", "err", err)
 		}
 		b.handlers.OnSent(p.message.kind(), n, len(p.addrs))
 	}
 }
 
-// receive takes datagrams until the connection is closed.
+// receive handles datagrams until the connection is closed.
 func (b *Heartbeater) receive(ctx context.Context) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, _, err := b.conn.ReadFrom(buffer)
 		if err != nil {
-			return // the connection was closed by Run
+			return // Run closed the connection
 		}
 		var m message
 		if err := json.Unmarshal(buffer[:n], &m); err != nil {
-			b.handlers.Log.Debug("bad datagram", "err", err)
+			b.handlers.Log.Debug("malformed datagram dropped", "err", err)
 			continue
 		}
 		switch {
@@ -187,7 +188,7 @@
 	}
 }
 
-// handleHeartbeat takes in a heartbeat, and what a relay sends with it.
+// handleHeartbeat records a heartbeat, and the digest if a relay sent one along.
 func (b *Heartbeater) handleHeartbeat(ctx context.Context, m *message) {
 	now := time.Now()
 	if m.Digest == nil {
@@ -205,25 +206,25 @@
 	}
 }
 
-// dispatch hands a new heartbeat on.
-func (b *Heartbeater) dispatch(beat *Heartbeat) {
-	if len(beat.Poison) > 0 {
-		b.handlers.OnPoison(beat.Poison)
+// dispatch calls the handlers for a new heartbeat.
+func (b *Heartbeater) dispatch(heartbeat *Heartbeat) {
+	if len(heartbeat.Poison) > 0 {
+		b.handlers.OnPoison(heartbeat.Poison)
 	}
-	if len(beat.Advice) > 0 {
-		b.handlers.OnAdvice(beat.Advice)
+	if len(heartbeat.Advice) > 0 {
+		b.handlers.OnAdvice(heartbeat.Advice)
 	}
 	b.handlers.OnHeartbeat()
 }
 
-// fetchRoll takes the whole roll of a relay. Where that fails, it is asked for again with a
-// later digest.
+// fetchRoll replaces a relay's membership list by its full list. After a failure it is
+// requested again when a later digest arrives.
 func (b *Heartbeater) fetchRoll(ctx context.Context, relay Entry) {
 	ctx, cancel := context.WithTimeout(ctx, rollRequestTimeout)
 	defer cancel()
 	members, err := b.handlers.FetchRoll(ctx, relay.Peer)
 	if err != nil {
-		b.handlers.Log.Debug("no roll from a relay", "peer", relay.Peer, "err", err)
+		b.handlers.Log.Debug("request for a relay's membership list failed", "peer", relay.Peer, "err", err)
 		return
 	}
 	b.table.SetRoll(relay, members)
