--- a/member/member_test.go
+++ b/member/member_test.go
@@ -13,9 +13,9 @@
 
 var now = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func at(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
+func afterMS(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 
-func beat(name string, life, sequence uint64, inFlight map[string]int) member.Heartbeat {
+func newHeartbeat(name string, life, sequence uint64, inFlight map[string]int) member.Heartbeat {
 	return member.Heartbeat{
 		Entry: member.Entry{Name: name, Life: life, Peer: name + ":1"}, Sequence: sequence, Ready: true,
 		Copies: map[string]mirror.Version{"config": {Revision: int64(sequence), Digest: sequence}}, InFlight: inFlight,
@@ -34,120 +34,121 @@
 	var t *member.Table
 	BeforeEach(func() { t = member.NewTable(member.Entry{Name: "self"}) })
 
-	It("sums what others have in progress, by their newest word", func() {
-		t.Hear(beat("x", 1, 1, map[string]int{"e": 2}), now)
-		t.Hear(beat("y", 1, 1, map[string]int{"e": 1, "f": 1}), now)
+	It("sums the in-flight requests of others from their latest heartbeats", func() {
+		t.HandleHeartbeat(newHeartbeat("x", 1, 1, map[string]int{"e": 2}), now)
+		t.HandleHeartbeat(newHeartbeat("y", 1, 1, map[string]int{"e": 1, "f": 1}), now)
 		Expect(t.InFlight(roster.Life{ID: "e"})).To(Equal(3))
-		t.Hear(beat("x", 1, 2, map[string]int{"e": 1}), now)
+		t.HandleHeartbeat(newHeartbeat("x", 1, 2, map[string]int{"e": 1}), now)
 		Expect(t.InFlight(roster.Life{ID: "e"})).To(Equal(2))
 	})
 
-	It("ignores heartbeats that are late, its own, and those of nobody", func() {
-		Expect(t.Hear(beat("x", 1, 5, nil), now)).To(BeTrue())
-		Expect(t.Hear(beat("x", 1, 4, nil), now)).To(BeFalse())
-		Expect(t.Hear(beat("x", 2, 1, nil), now)).To(BeTrue(), "a new life begins anew")
-		Expect(t.Hear(beat("self", 1, 1, nil), now)).To(BeFalse())
-		Expect(t.Hear(beat("", 1, 1, nil), now)).To(BeFalse())
+	It("ignores outdated heartbeats, its own, and those without a name", func() {
+		Expect(t.HandleHeartbeat(newHeartbeat("x", 1, 5, nil), now)).To(BeTrue())
+		Expect(t.HandleHeartbeat(newHeartbeat("x", 1, 4, nil), now)).To(BeFalse())
+		Expect(t.HandleHeartbeat(newHeartbeat("x", 2, 1, nil), now)).To(BeTrue(), "a new incarnation restarts the sequence")
+		Expect(t.HandleHeartbeat(newHeartbeat("self", 1, 1, nil), now)).To(BeFalse())
+		Expect(t.HandleHeartbeat(newHeartbeat("", 1, 1, nil), now)).To(BeFalse())
 	})
 
-	It("forgets the silent, and says so once", func() {
-		t.Hear(beat("x", 1, 1, map[string]int{"e": 2}), now)
-		Expect(t.Expire(at(900))).To(BeEmpty())
-		Expect(t.Expire(at(901))).To(Equal([]string{"x"}))
-		Expect(t.Expire(at(902))).To(BeEmpty())
+	It("removes silent gateways and reports each once", func() {
+		t.HandleHeartbeat(newHeartbeat("x", 1, 1, map[string]int{"e": 2}), now)
+		Expect(t.Expire(afterMS(900))).To(BeEmpty())
+		Expect(t.Expire(afterMS(901))).To(Equal([]string{"x"}))
+		Expect(t.Expire(afterMS(902))).To(BeEmpty())
 		Expect(t.InFlight(roster.Life{ID: "e"})).To(BeZero())
 		Expect(t.Live()).To(BeEmpty())
 	})
 
-	It("counts an entry that is not ready as alive and does not name it", func() {
-		b := beat("x", 1, 1, nil)
+	It("counts a gateway that is not ready as alive but does not list it", func() {
+		b := newHeartbeat("x", 1, 1, nil)
 		b.Ready = false
-		t.Hear(b, now)
+		t.HandleHeartbeat(b, now)
 		Expect(t.Live()).To(BeEmpty())
 		Expect(t.Size()).To(Equal(2))
 	})
 
-	It("tells those that the store lists and those that it hears", func() {
-		t.Know([]member.Entry{{Name: "self", Peer: "self:1"}, {Name: "x", Peer: "x:1"}})
-		t.Hear(beat("y", 1, 1, nil), now)
-		Expect(t.Others()).To(Equal([]string{"x:1", "y:1"}))
+	It("sends to listed gateways and to live ones", func() {
+		t.SetListed([]member.Entry{{Name: "self", Peer: "self:1"}, {Name: "x", Peer: "x:1"}})
+		t.HandleHeartbeat(newHeartbeat("y", 1, 1, nil), now)
+		Expect(t.PeerAddrs()).To(Equal([]string{"x:1", "y:1"}))
 		Expect(names(t.Live())).To(Equal([]string{"y"}))
 	})
 
-	It("shares with all that are listed or heard, and with nobody knows how many before", func() {
-		t.Hear(beat("y", 1, 1, nil), now)
-		Expect(t.Sharers()).To(BeZero())
-		t.Know([]member.Entry{{Name: "self"}, {Name: "x"}, {Name: "z"}})
-		Expect(t.Sharers()).To(Equal(4))
+	It("counts listed and live gateways, and none before the list is read", func() {
+		t.HandleHeartbeat(newHeartbeat("y", 1, 1, nil), now)
+		Expect(t.KnownSize()).To(BeZero())
+		t.SetListed([]member.Entry{{Name: "self"}, {Name: "x"}, {Name: "z"}})
+		Expect(t.KnownSize()).To(Equal(4))
 	})
 
-	It("knows what others suspect, until they no longer say so", func() {
-		b := beat("x", 1, 1, nil)
+	It("reports the suspects of others until they withdraw the suspicion", func() {
+		b := newHeartbeat("x", 1, 1, nil)
 		b.Suspects = []string{"e"}
-		t.Hear(b, now)
+		t.HandleHeartbeat(b, now)
 		Expect(t.Suspected(roster.Life{ID: "e"})).To(BeTrue())
 		Expect(t.Suspected(roster.Life{ID: "f"})).To(BeFalse())
-		t.Hear(beat("x", 1, 2, nil), now)
+		t.HandleHeartbeat(newHeartbeat("x", 1, 2, nil), now)
 		Expect(t.Suspected(roster.Life{ID: "e"})).To(BeFalse())
 	})
-	It("counts by the lives of endpoints", func() {
-		b := beat("x", 1, 1, nil)
+	It("counts by incarnation of an endpoint", func() {
+		b := newHeartbeat("x", 1, 1, nil)
 		b.SetEndpoints(map[roster.Life]int{{ID: "e", Born: 5}: 3}, []roster.Life{{ID: "f", Born: 5}})
-		t.Hear(b, now)
+		t.HandleHeartbeat(b, now)
 		Expect(t.InFlight(roster.Life{ID: "e", Born: 5})).To(Equal(3))
-		Expect(t.InFlight(roster.Life{ID: "e", Born: 6})).To(BeZero(), "of an earlier life")
-		Expect(t.InFlight(roster.Life{ID: "e"})).To(Equal(3), "this gateway was not told")
+		Expect(t.InFlight(roster.Life{ID: "e", Born: 6})).To(BeZero(), "requests at an earlier incarnation")
+		Expect(t.InFlight(roster.Life{ID: "e"})).To(Equal(3), "this gateway does not know the start time")
 		Expect(t.Suspected(roster.Life{ID: "f", Born: 5})).To(BeTrue())
 		Expect(t.Suspected(roster.Life{ID: "f", Born: 6})).To(BeFalse())
-		t.Hear(beat("y", 1, 1, map[string]int{"e": 2}), now)
-		Expect(t.InFlight(roster.Life{ID: "e", Born: 6})).To(Equal(2), "an older program tells no lives")
-		t.Expire(at(901))
+		t.HandleHeartbeat(newHeartbeat("y", 1, 1, map[string]int{"e": 2}), now)
+		Expect(t.InFlight(roster.Life{ID: "e", Born: 6})).To(Equal(2), "an older version sends no start times")
+		t.Expire(afterMS(901))
 		Expect(t.InFlight(roster.Life{ID: "e", Born: 5})).To(BeZero())
 	})
-	It("knows who is ahead", func() {
-		t.Hear(beat("x", 1, 3, nil), now)
-		t.Hear(beat("y", 1, 8, nil), now)
-		t.Hear(beat("z", 1, 9, nil), now)
+	It("returns gateways with newer copies", func() {
+		t.HandleHeartbeat(newHeartbeat("x", 1, 3, nil), now)
+		t.HandleHeartbeat(newHeartbeat("y", 1, 8, nil), now)
+		t.HandleHeartbeat(newHeartbeat("z", 1, 9, nil), now)
 		version := func(n int64) mirror.Version { return mirror.Version{Revision: n, Digest: uint64(n)} }
-		Expect(t.Newer("config", version(3))).To(Equal([]string{"y:1", "z:1"}))
-		Expect(t.Newer("config", version(8))).To(Equal([]string{"z:1"}))
-		Expect(t.Newer("config", version(9))).To(BeEmpty())
-		Expect(t.Newer("config", mirror.Version{Revision: 8, Digest: 9})).To(BeEmpty(), "the same objects, confirmed later")
+		Expect(t.PeersWithNewer("config", version(3))).To(Equal([]string{"y:1", "z:1"}))
+		Expect(t.PeersWithNewer("config", version(8))).To(Equal([]string{"z:1"}))
+		Expect(t.PeersWithNewer("config", version(9))).To(BeEmpty())
+		Expect(t.PeersWithNewer("config", mirror.Version{Revision: 8, Digest: 9})).To(BeEmpty(), "the same objects, confirmed later")
 	})
-	It("asks those of its own zone first", func() {
-		far := beat("a", 1, 9, nil)
+	It("prefers gateways of its own zone", func() {
+		far := newHeartbeat("a", 1, 9, nil)
 		far.Entry.Zone = "elsewhere"
-		t.Hear(far, now)
-		Expect(t.Newer("config", mirror.Version{})).To(Equal([]string{"a:1"}))
-		t.Hear(beat("z", 1, 8, nil), now)
-		Expect(t.Newer("config", mirror.Version{})).To(Equal([]string{"z:1"}))
+		t.HandleHeartbeat(far, now)
+		Expect(t.PeersWithNewer("config", mirror.Version{})).To(Equal([]string{"a:1"}))
+		t.HandleHeartbeat(newHeartbeat("z", 1, 8, nil), now)
+		Expect(t.PeersWithNewer("config", mirror.Version{})).To(Equal([]string{"z:1"}))
 	})
 })
 
-// watcher is a heartbeat of an entry that watches the store.
-func watcher(name string, away bool) member.Heartbeat {
-	b := beat(name, 1, 1, nil)
+// watcherHeartbeat returns a heartbeat of a gateway that watches the store. away is set if the
+// store does not respond to it.
+func watcherHeartbeat(name string, away bool) member.Heartbeat {
+	b := newHeartbeat(name, 1, 1, nil)
 	b.Watching, b.Away = true, away
 	return b
 }
 
-var _ = Describe("The entries that watch the store", func() {
+var _ = Describe("Gateways that watch the store", func() {
 	var t *member.Table
 	BeforeEach(func() { t = member.NewTable(member.Entry{Name: "m"}) })
 
 	It("are the first two of a zone", func() {
-		Expect(t.Watching()).To(BeTrue(), "alone")
-		t.Hear(beat("a", 1, 1, nil), now)
-		t.Hear(beat("z", 1, 1, nil), now)
-		Expect(t.Watching()).To(BeTrue())
-		far := beat("c", 1, 1, nil)
+		Expect(t.ShouldWatch()).To(BeTrue(), "the only gateway")
+		t.HandleHeartbeat(newHeartbeat("a", 1, 1, nil), now)
+		t.HandleHeartbeat(newHeartbeat("z", 1, 1, nil), now)
+		Expect(t.ShouldWatch()).To(BeTrue())
+		far := newHeartbeat("c", 1, 1, nil)
 		far.Entry.Zone = "elsewhere"
-		t.Hear(far, now)
-		Expect(t.Watching()).To(BeTrue())
-		t.Hear(beat("b", 1, 1, nil), now)
-		Expect(t.Watching()).To(BeFalse())
+		t.HandleHeartbeat(far, now)
+		Expect(t.ShouldWatch()).To(BeTrue())
+		t.HandleHeartbeat(newHeartbeat("b", 1, 1, nil), now)
+		Expect(t.ShouldWatch()).To(BeFalse())
 	})
-	It("are six in all, or one in each zone where there are more", func() {
+	It("are six in total, or one in each zone if there are more than six zones", func() {
 		for _, c := range []struct {
 			zones int
 			want  []int
@@ -162,52 +163,52 @@
 			Expect(got).To(Equal(c.want), "%d zones", c.zones)
 		}
 	})
-	It("are fewer in a zone where there are many zones, and the next takes the place of one", func() {
+	It("are fewer per zone with many zones, and are replaced on failure", func() {
 		for _, zone := range []string{"b", "c", "d", "e"} {
-			far := beat("far-"+zone, 1, 1, nil)
+			far := newHeartbeat("far-"+zone, 1, 1, nil)
 			far.Entry.Zone = zone
-			t.Hear(far, now)
+			t.HandleHeartbeat(far, now)
 		}
-		t.Hear(watcher("a", false), now)
-		Expect(t.Watching()).To(BeTrue(), "its zone is the first of five")
-		t.Hear(watcher("b", false), now)
-		Expect(t.Watching()).To(BeFalse())
+		t.HandleHeartbeat(watcherHeartbeat("a", false), now)
+		Expect(t.ShouldWatch()).To(BeTrue(), "its zone is the first of five")
+		t.HandleHeartbeat(watcherHeartbeat("b", false), now)
+		Expect(t.ShouldWatch()).To(BeFalse())
 		last := member.NewTable(member.Entry{Name: "m", Zone: "z"})
 		for _, zone := range []string{"a", "b", "c", "d"} {
-			far := beat("far-"+zone, 1, 1, nil)
+			far := newHeartbeat("far-"+zone, 1, 1, nil)
 			far.Entry.Zone = zone
-			last.Hear(far, now)
+			last.HandleHeartbeat(far, now)
 		}
-		Expect(last.Watching()).To(BeTrue(), "alone in its zone")
-		near := watcher("k", false)
+		Expect(last.ShouldWatch()).To(BeTrue(), "alone in its zone")
+		near := watcherHeartbeat("k", false)
 		near.Entry.Zone = "z"
-		last.Hear(near, now)
-		Expect(last.Watching()).To(BeFalse())
+		last.HandleHeartbeat(near, now)
+		Expect(last.ShouldWatch()).To(BeFalse())
 		near.Away, near.Sequence = true, 2
-		last.Hear(near, now)
-		Expect(last.Watching()).To(BeTrue(), "the store does not answer the one before")
+		last.HandleHeartbeat(near, now)
+		Expect(last.ShouldWatch()).To(BeTrue(), "the store does not respond to the preceding gateway")
 	})
-	It("make room for others when the store does not answer them, for a few", func() {
-		t.Hear(watcher("a", false), now)
-		t.Hear(watcher("b", true), now)
-		Expect(t.Watching()).To(BeTrue())
+	It("are replaced while the store does not respond to them, up to a limit", func() {
+		t.HandleHeartbeat(watcherHeartbeat("a", false), now)
+		t.HandleHeartbeat(watcherHeartbeat("b", true), now)
+		Expect(t.ShouldWatch()).To(BeTrue())
 		Expect(t.StoreLost()).To(BeFalse())
-		again := watcher("a", true)
+		again := watcherHeartbeat("a", true)
 		again.Sequence++
-		t.Hear(again, now)
+		t.HandleHeartbeat(again, now)
 		Expect(t.StoreLost()).To(BeTrue())
-		t.Hear(watcher("c", true), now)
-		Expect(t.Watching()).To(BeTrue())
-		t.Hear(watcher("d", true), now)
-		Expect(t.Watching()).To(BeFalse())
+		t.HandleHeartbeat(watcherHeartbeat("c", true), now)
+		Expect(t.ShouldWatch()).To(BeTrue())
+		t.HandleHeartbeat(watcherHeartbeat("d", true), now)
+		Expect(t.ShouldWatch()).To(BeFalse())
 		Expect(t.Watchers(false)).To(Equal(4))
 	})
-	It("are followed by one that the silent leave behind", func() {
-		t.Hear(watcher("a", false), now)
-		t.Hear(watcher("b", false), now)
-		Expect(t.Watching()).To(BeFalse())
-		t.Expire(at(901))
-		Expect(t.Watching()).To(BeTrue())
-		Expect(t.StoreLost()).To(BeFalse(), "nobody says so")
+	It("are replaced when they fall silent", func() {
+		t.HandleHeartbeat(watcherHeartbeat("a", false), now)
+		t.HandleHeartbeat(watcherHeartbeat("b", false), now)
+		Expect(t.ShouldWatch()).To(BeFalse())
+		t.Expire(afterMS(901))
+		Expect(t.ShouldWatch()).To(BeTrue())
+		Expect(t.StoreLost()).To(BeFalse(), "no gateway reports it")
 	})
 })
--- a/member/relay.go
+++ b/member/relay.go
@@ -5,65 +5,66 @@
 	"time"
 )
 
-// relayState is what a relay told last.
+// relayState is the state received from a relay.
 type relayState struct {
 	heardAt time.Time
-	// firstAt is when it was first heard as a relay.
-	firstAt time.Time
-	// fresh is set while the relay is alive, settled once all of its zone have had time to
-	// report to it.
+	// firstHeardAt is the time of its first digest.
+	firstHeardAt time.Time
+	// fresh is set while the relay is alive, settled once all gateways of its zone have had
+	// time to report to it.
 	fresh, settled bool
 	zone           string
 	life           uint64
-	// roll is who is alive by its word; told is the hash that it told last.
-	roll *roll
-	told uint64
-	// askedAt is when it was last asked for its whole roll.
-	askedAt time.Time
-	loads   loads
+	// roll is the relay's membership list as known here, reportedHash the hash in its last
+	// digest. They differ while changes are missing.
+	roll         *roll
+	reportedHash uint64
+	// requestedAt is when the relay's full list was last requested.
+	requestedAt time.Time
+	loads       relayLoads
 }
 
-// loads are Loads as they were read.
-type loads struct {
+// relayLoads are decoded Loads.
+type relayLoads struct {
 	covers             int
 	inFlight, suspects keyCounts
 }
 
-// hearDigest takes in what the relay of a heartbeat tells of others. The caller holds the
-// lock.
-func (t *Table) hearDigest(from Entry, d *Digest, now time.Time) {
+// applyDigest records the digest of the relay from. The caller must hold t.mu.
+func (t *Table) applyDigest(from Entry, d *Digest, now time.Time) {
 	r := t.relays[from.Name]
 	if r == nil || r.life != from.Life {
-		r = &relayState{firstAt: now, zone: from.Zone, life: from.Life, roll: newRoll()}
+		r = &relayState{firstHeardAt: now, zone: from.Zone, life: from.Life, roll: newRoll()}
 		t.relays[from.Name] = r
 	}
-	r.heardAt, r.fresh, r.told = now, true, d.Roll.Hash
+	r.heardAt, r.fresh, r.reportedHash = now, true, d.Roll.Hash
 	if r.roll.apply(d.Roll.Changes) {
-		t.forget()
+		t.invalidate()
 	}
 	if d.Loads != nil {
-		r.loads = loads{covers: d.Loads.Covers, inFlight: d.Loads.InFlight.unpack(), suspects: d.Loads.Suspects.unpack()}
+		r.loads = relayLoads{covers: d.Loads.Covers, inFlight: d.Loads.InFlight.unpack(), suspects: d.Loads.Suspects.unpack()}
 	}
 }
 
-// Behind returns the relays whose whole roll is to be asked for now, and notes that it is.
-func (t *Table) Behind(now time.Time) []Entry {
+// RelaysToSync returns the relays whose full membership list is to be requested now, and
+// records the request.
+func (t *Table) RelaysToSync(now time.Time) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Entry
 	for name, r := range t.relays {
 		p := t.direct[name]
-		if p == nil || r.told == r.roll.hash || now.Sub(r.askedAt) < askEvery {
+		if p == nil || r.reportedHash == r.roll.hash || now.Sub(r.requestedAt) < rollRequestInterval {
 			continue
 		}
-		r.askedAt = now
-		out = append(out, p.beat.Entry)
+		r.requestedAt = now
+		out = append(out, p.heartbeat.Entry)
 	}
 	return out
 }
 
-// TakeRoll takes in the whole roll of a relay.
-func (t *Table) TakeRoll(from Entry, members []Member) {
+// SetRoll replaces the membership list of a relay.
+func (t *Table) SetRoll(from Entry, members []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.relays[from.Name]
@@ -74,40 +75,41 @@
 	for _, m := range members {
 		r.roll.put(m)
 	}
-	t.forget()
+	t.invalidate()
 }
 
-// WholeRoll returns all members of the roll that this gateway tells as a relay.
-func (t *Table) WholeRoll() []Member {
+// FullRoll returns all members of the list that this gateway sends as a relay.
+func (t *Table) FullRoll() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make([]Member, 0, len(t.log.members))
-	for _, m := range t.log.members {
+	out := make([]Member, 0, len(t.ownRoll.members))
+	for _, m := range t.ownRoll.members {
 		out = append(out, m)
 	}
 	return out
 }
 
-// expireRelays forgets what relays told that have been silent. The caller holds the lock.
+// expireRelays updates the state of relays that have been silent and removes it after
+// rollRetention. The caller must hold t.mu.
 func (t *Table) expireRelays(now time.Time) {
 	for name, r := range t.relays {
 		fresh := now.Sub(r.heardAt) <= AliveTime
-		settled := fresh && now.Sub(r.firstAt) >= settleTime
+		settled := fresh && now.Sub(r.firstHeardAt) >= settleTime
 		if fresh != r.fresh || settled != r.settled {
 			r.fresh, r.settled = fresh, settled
-			t.forget()
+			t.invalidate()
 		}
-		if now.Sub(r.heardAt) > rollTime {
+		if now.Sub(r.heardAt) > rollRetention {
 			delete(t.relays, name)
-			t.forget()
+			t.invalidate()
 		}
 	}
 }
 
-// rolls calls f with the members that each relay that counts told of: those that are
-// alive, and those that are silent where no other has told of their zone for long enough.
-// Of the latter none vouches for another. The caller holds the lock.
-func (t *Table) rolls(f func(r *relayState, m Member)) {
+// forEachRelayed calls f with the members that relays report. Lists of silent relays are used
+// only if no settled relay covers their zone, and never to keep another silent relay alive. The
+// caller must hold t.mu.
+func (t *Table) forEachRelayed(f func(r *relayState, m Member)) {
 	covered := map[string]bool{}
 	for _, r := range t.relays {
 		if r.settled {
@@ -119,58 +121,59 @@
 			continue
 		}
 		for name, m := range r.roll.members {
-			if name != t.self.Name && (r.fresh || !t.silent(name)) {
+			if name != t.self.Name && (r.fresh || !t.isSilentRelay(name)) {
 				f(r, m)
 			}
 		}
 	}
 }
 
-// silent returns whether a gateway told as a relay and does not any more. The caller holds
-// the lock.
-func (t *Table) silent(name string) bool {
+// isSilentRelay returns whether a gateway has sent digests but is no longer alive as a relay.
+// The caller must hold t.mu.
+func (t *Table) isSilentRelay(name string) bool {
 	r := t.relays[name]
 	return r != nil && !r.fresh
 }
 
-// firstHand returns who is alive by what this gateway heard itself: of its own zone by
-// their heartbeats, of others by their relays. Only that is told on, so that no two relays
-// keep a dead gateway alive by each other's word. The caller holds the lock.
-func (t *Table) firstHand() map[string]Member {
+// directMembers returns the live members from first-hand information: in this gateway's zone
+// from heartbeats, in other zones from the zone's relays. A relay forwards only these, so that
+// two relays can't keep a dead gateway alive by repeating each other's reports. The caller must
+// hold t.mu.
+func (t *Table) directMembers() map[string]Member {
 	out := map[string]Member{}
-	t.rolls(func(r *relayState, m Member) {
+	t.forEachRelayed(func(r *relayState, m Member) {
 		if r.zone != t.self.Zone && m.Entry.Zone == r.zone {
 			out[m.Entry.Name] = m
 		}
 	})
 	for name, p := range t.direct {
-		out[name] = p.beat.member()
+		out[name] = p.heartbeat.member()
 	}
 	return out
 }
 
-// alive returns who is alive: by what this gateway heard itself, and by the word of the
-// relays of its zone. The caller holds the lock and does not change the result.
-func (t *Table) alive() map[string]Member {
-	if t.members != nil {
-		return t.members
+// liveMembers returns the live members: directMembers and those that relays of this gateway's
+// zone report. The caller must hold t.mu and must not modify the result.
+func (t *Table) liveMembers() map[string]Member {
+	if t.live != nil {
+		return t.live
 	}
-	out := t.firstHand()
-	t.rolls(func(r *relayState, m Member) {
+	out := t.directMembers()
+	t.forEachRelayed(func(r *relayState, m Member) {
 		if _, heard := out[m.Entry.Name]; !heard && r.zone == t.self.Zone {
 			out[m.Entry.Name] = m
 		}
 	})
-	t.members = out
-	t.noteChanges(out)
+	t.live = out
+	t.recordChanges(out)
 	return out
 }
 
-// zoneMembers returns those of zone that are alive, with this gateway if it is of zone.
-// The caller holds the lock.
+// zoneMembers returns the live members of a zone, including this gateway if it belongs to the
+// zone. The caller must hold t.mu.
 func (t *Table) zoneMembers(zone string) []Member {
 	var out []Member
-	for _, m := range t.alive() {
+	for _, m := range t.liveMembers() {
 		if m.Entry.Zone == zone {
 			out = append(out, m)
 		}
@@ -192,14 +195,14 @@
 	return slices.ContainsFunc(Relays(t.zoneMembers(t.self.Zone)), func(m Member) bool { return m.Entry.Name == t.self.Name })
 }
 
-// usesRelays returns whether heartbeats go by relays. The caller holds the lock.
+// usesRelays returns whether heartbeats go through relays. The caller must hold t.mu.
 func (t *Table) usesRelays() bool {
 	if !t.self.Relays {
 		return false
 	}
 	older := false
 	for _, p := range t.direct {
-		older = older || !p.beat.Entry.Relays
+		older = older || !p.heartbeat.Entry.Relays
 	}
-	return UsesRelays(len(t.everybody())+1, older)
+	return UsesRelays(len(t.allEntries())+1, older)
 }
--- a/member/wire.go
+++ b/member/wire.go
@@ -11,24 +11,25 @@
 	"github.com/silverdeck/silverdeck/wait"
 )
 
-// maxDatagram bounds a heartbeat, in bytes: the largest datagram of UDP.
+// maxDatagram is the largest size of a message in bytes, that of a UDP datagram.
 const maxDatagram = 64 << 10
 
-// rollLimit bounds a question for a whole roll, some tens of kilobytes: a link between
-// regions may be full.
-const rollLimit = time.Second
+// rollRequestTimeout bounds a request for a full membership list. The list has some tens of
+// kilobytes, and the link between regions may be saturated.
+const rollRequestTimeout = time.Second
 
-// message is one datagram: a heartbeat, with a relay's also its digest, or a notice.
+// message is the content of one datagram: a heartbeat, from a relay along with a digest, or a
+// notice.
 type message struct {
 	Heartbeat *Heartbeat `json:"beat,omitempty"`
 	Notice    *Notice    `json:"notice,omitempty"`
 	Digest    *Digest    `json:"digest,omitempty"`
 }
 
-// Kind is what a datagram between gateways carries, for those who count.
+// Kind is the kind of a datagram between gateways, as used for traffic counters.
 type Kind string
 
-// The kinds of datagrams.
+// Kinds of datagrams.
 const (
 	KindHeartbeat Kind = "heartbeat"
 	// KindDigest is a heartbeat with a relay's digest.
@@ -43,83 +44,83 @@
 	return KindHeartbeat
 }
 
-// Handlers are what a Beater calls, each from a goroutine of the Beater's.
+// Handlers are the callbacks of a Heartbeater. They are called from its goroutines.
 type Handlers struct {
-	// Describe returns the next heartbeat, without its number.
-	Describe func() Heartbeat
-	// After is called after each round, with the names of gateways that are no longer
+	// NextHeartbeat returns the next heartbeat, without its sequence number.
+	NextHeartbeat func() Heartbeat
+	// AfterRound is called after each round with the names of the gateways that are no longer
 	// alive.
-	After func(dead []string)
-	// Heard is called after each new heartbeat of another gateway.
-	Heard func()
-	// Poison is called with what a new heartbeat tells of requests under which endpoints
-	// ended; nil means that nobody wants it.
-	Poison func([]byte)
-	// Advice is called with what a new heartbeat tells of endpoints' answers; nil means that
-	// nobody wants it.
-	Advice func([]Advice)
-	// Notice is called with each notice.
-	Notice func(Notice)
-	// AskRoll asks the relay at addr for its whole roll; see RollService.
-	AskRoll func(ctx context.Context, addr string) ([]Member, error)
-	// Sent hears of each message that was sent, of how many bytes and to how many gateways;
-	// nil means that nobody does.
-	Sent func(kind Kind, bytes, gateways int)
-	// Log takes lines about datagrams that can't be sent or read.
+	AfterRound func(dead []string)
+	// OnHeartbeat is called after each new heartbeat of another gateway.
+	OnHeartbeat func()
+	// OnPoison is called with the reports in a new heartbeat of requests during which endpoints
+	// terminated. It may be nil.
+	OnPoison func([]byte)
+	// OnAdvice is called with the endpoints' statements in a new heartbeat. It may be nil.
+	OnAdvice func([]Advice)
+	// OnNotice is called with each notice.
+	OnNotice func(Notice)
+	// FetchRoll requests the full membership list of the relay at addr; see RollService.
+	FetchRoll func(ctx context.Context, addr string) ([]Member, error)
+	// OnSent is called for each message sent, with its size and the number of receivers. It may
+	// be nil.
+	OnSent func(kind Kind, bytes, gateways int)
+	// Log receives lines about datagrams that can't be sent or decoded.
 	Log *log.Logger
 }
 
-// Beater sends this gateway's heartbeats and takes those of others.
-type Beater struct {
+// Heartbeater sends this gateway's heartbeats and receives those of others.
+type Heartbeater struct {
 	conn     net.PacketConn
 	table    *Table
 	handlers Handlers
-	// soon asks for a heartbeat ahead of time.
-	soon chan struct{}
+	// trigger requests a heartbeat ahead of schedule.
+	trigger chan struct{}
 }
 
-// NewBeater returns a Beater on conn.
-func NewBeater(conn net.PacketConn, table *Table, h Handlers) *Beater {
-	if h.Sent == nil {
-		h.Sent = func(Kind, int, int) {}
+// NewHeartbeater returns a Heartbeater that uses conn and closes it at the end of Run.
+func NewHeartbeater(conn net.PacketConn, table *Table, h Handlers) *Heartbeater {
+	if h.OnSent == nil {
+		h.OnSent = func(Kind, int, int) {}
 	}
-	if h.Poison == nil {
-		h.Poison = func([]byte) {}
+	if h.OnPoison == nil {
+		h.OnPoison = func([]byte) {}
 	}
-	if h.Advice == nil {
-		h.Advice = func([]Advice) {}
+	if h.OnAdvice == nil {
+		h.OnAdvice = func([]Advice) {}
 	}
-	return &Beater{conn: conn, table: table, handlers: h, soon: make(chan struct{}, 1)}
+	return &Heartbeater{conn: conn, table: table, handlers: h, trigger: make(chan struct{}, 1)}
 }
 
-// SendSoon makes the next heartbeat come at once.
-func (b *Beater) SendSoon() {
+// SendSoon requests a heartbeat ahead of the next tick, minHeartbeatInterval after Run takes the
+// request.
+func (b *Heartbeater) SendSoon() {
 	select {
-	case b.soon <- struct{}{}:
-	default: // one is asked for already
+	case b.trigger <- struct{}{}:
+	default: // one is already pending
 	}
 }
 
-// Notify sends n to the gateways at addrs. It returns the first error; a notice
-// that is lost is made up for by the endpoint's record in the store.
+// Notify sends n to the gateways at addrs and returns the first error. A lost notice is
+// compensated for by the endpoint's record in the store.
 func Notify(conn net.PacketConn, addrs []string, n Notice) error {
 	_, err := send(conn, addrs, message{Notice: &n})
 	return err
 }
 
-// send sends m to all addrs. It returns its size in bytes and the first error.
+// send sends m to all addrs. It returns the message size in bytes and the first error.
 func send(conn net.PacketConn, addrs []string, m message) (int, error) {
 	data, err := json.Marshal(m)
 	if err != nil {
 		return 0, err
 	}
-	var first error
+	var firstErr error
 	for _, peer := range addrs {
-		if err := sendTo(conn, peer, data); err != nil && first == nil {
-			first = err
+		if err := sendTo(conn, peer, data); err != nil && firstErr == nil {
+			firstErr = err
 		}
 	}
-	return len(data), first
+	return len(data), firstErr
 }
 
 func sendTo(conn net.PacketConn, peer string, data []byte) error {
@@ -131,100 +132,100 @@
 	return err
 }
 
-// Run sends and takes heartbeats until ctx ends.
-func (b *Beater) Run(ctx context.Context) {
+// Run sends and receives heartbeats until ctx ends.
+func (b *Heartbeater) Run(ctx context.Context) {
 	go b.receive(ctx)
-	defer func() { _ = b.conn.Close() }() // ends receive
+	defer func() { _ = b.conn.Close() }() // makes receive return
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
 	var sequence uint64
 	for {
 		sequence++
 		b.send(sequence)
-		b.handlers.After(b.table.Expire(time.Now()))
+		b.handlers.AfterRound(b.table.Expire(time.Now()))
 		select {
 		case <-ctx.Done():
 			b.send(sequence + 1)
 			return
 		case <-ticker.C:
-		case <-b.soon:
-			wait.For(ctx, minInterval)
+		case <-b.trigger:
+			wait.For(ctx, minHeartbeatInterval)
 		}
 	}
 }
 
-func (b *Beater) send(sequence uint64) {
-	beat := b.handlers.Describe()
-	beat.Sequence = sequence
-	for _, p := range b.table.plan(beat, time.Now()) {
+func (b *Heartbeater) send(sequence uint64) {
+	heartbeat := b.handlers.NextHeartbeat()
+	heartbeat.Sequence = sequence
+	for _, p := range b.table.plan(heartbeat, time.Now()) {
 		n, err := send(b.conn, p.addrs, p.message)
 		if err != nil {
-			b.handlers.Log.Debug("heartbeat not sent to all", "err", err)
+			b.handlers.Log.Debug("heartbeat not sent to all receivers", "err", err)
 		}
-		b.handlers.Sent(p.message.kind(), n, len(p.addrs))
+		b.handlers.OnSent(p.message.kind(), n, len(p.addrs))
 	}
 }
 
-// receive takes datagrams until the connection is closed.
-func (b *Beater) receive(ctx context.Context) {
+// receive handles datagrams until the connection is closed.
+func (b *Heartbeater) receive(ctx context.Context) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, _, err := b.conn.ReadFrom(buffer)
 		if err != nil {
-			return // the connection was closed by Run
+			return // Run closed the connection
 		}
 		var m message
 		if err := json.Unmarshal(buffer[:n], &m); err != nil {
-			b.handlers.Log.Debug("bad datagram", "err", err)
+			b.handlers.Log.Debug("malformed datagram dropped", "err", err)
 			continue
 		}
 		switch {
 		case m.Heartbeat != nil:
-			b.hear(ctx, &m)
+			b.handleHeartbeat(ctx, &m)
 		case m.Notice != nil:
-			b.handlers.Notice(*m.Notice)
+			b.handlers.OnNotice(*m.Notice)
 		}
 	}
 }
 
-// hear takes in a heartbeat, and what a relay sends with it.
-func (b *Beater) hear(ctx context.Context, m *message) {
+// handleHeartbeat records a heartbeat, and the digest if a relay sent one along.
+func (b *Heartbeater) handleHeartbeat(ctx context.Context, m *message) {
 	now := time.Now()
 	if m.Digest == nil {
-		if b.table.Hear(*m.Heartbeat, now) {
-			b.heard(m.Heartbeat)
+		if b.table.HandleHeartbeat(*m.Heartbeat, now) {
+			b.dispatch(m.Heartbeat)
 		}
 		return
 	}
-	if !b.table.HearRelay(*m.Heartbeat, *m.Digest, now) {
+	if !b.table.HandleRelayHeartbeat(*m.Heartbeat, *m.Digest, now) {
 		return
 	}
-	b.heard(m.Heartbeat)
-	for _, relay := range b.table.Behind(now) {
-		go b.askRoll(ctx, relay)
+	b.dispatch(m.Heartbeat)
+	for _, relay := range b.table.RelaysToSync(now) {
+		go b.fetchRoll(ctx, relay)
 	}
 }
 
-// heard hands a new heartbeat on.
-func (b *Beater) heard(beat *Heartbeat) {
-	if len(beat.Poison) > 0 {
-		b.handlers.Poison(beat.Poison)
+// dispatch calls the handlers for a new heartbeat.
+func (b *Heartbeater) dispatch(heartbeat *Heartbeat) {
+	if len(heartbeat.Poison) > 0 {
+		b.handlers.OnPoison(heartbeat.Poison)
 	}
-	if len(beat.Advice) > 0 {
-		b.handlers.Advice(beat.Advice)
+	if len(heartbeat.Advice) > 0 {
+		b.handlers.OnAdvice(heartbeat.Advice)
 	}
-	b.handlers.Heard()
+	b.handlers.OnHeartbeat()
 }
 
-// askRoll takes the whole roll of a relay. Where that fails, it is asked for again with a
-// later digest.
-func (b *Beater) askRoll(ctx context.Context, relay Entry) {
-	ctx, cancel := context.WithTimeout(ctx, rollLimit)
+// fetchRoll replaces a relay's membership list by its full list. After a failure it is
+// requested again when a later digest arrives.
+func (b *Heartbeater) fetchRoll(ctx context.Context, relay Entry) {
+	ctx, cancel := context.WithTimeout(ctx, rollRequestTimeout)
 	defer cancel()
-	members, err := b.handlers.AskRoll(ctx, relay.Peer)
+	members, err := b.handlers.FetchRoll(ctx, relay.Peer)
 	if err != nil {
-		b.handlers.Log.Debug("no roll from a relay", "peer", relay.Peer, "err", err)
+		b.handlers.Log.Debug("request for a relay's membership list failed", "peer", relay.Peer, "err", err)
 		return
 	}
-	b.table.TakeRoll(relay, members)
+	b.table.SetRoll(relay, members)
 }
