--- a/compat/answers_test.go
+++ b/compat/answers_test.go
@@ -81,8 +81,8 @@
 		Budget:  proxy.NewBudget(0.2, 100, 10*time.Second, func() int { return 1 }),
 		Metrics: proxy.NewMetrics(s.registry), Log: log.New(io.Discard),
 		MinVersion: func(string) int64 { return 0 }, Random: draw,
-		WeightsEnd: func(string, int64) (time.Time, bool) { return time.Time{}, false },
-		Poison:     poison.NewTable(func(poison.Change) {}),
+		WeightsDeadline: func(string, int64) (time.Time, bool) { return time.Time{}, false },
+		Poison:          poison.NewTable(func(poison.Change) {}),
 	})
 	return s
 }
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.proxy.Use(config)
+	s.proxy.SetConfig(config)
 	list := &roster.List{Revision: 1, Endpoints: map[string]*roster.Endpoint{}}
 	for _, service := range []string{"llm", "a"} {
 		list.Endpoints[service] = &roster.Endpoint{ID: service + "-1", Service: service, Addr: s.addr, Zone: "a", Slots: 12,
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -173,21 +173,21 @@
 
 func (g *Gateway) newProxy() *proxy.Proxy {
 	return proxy.New(proxy.Config{
-		Headers:      platform.HeaderNames(),
-		Balancer:     g.balancer,
-		Client:       g.client,
-		Budget:       proxy.NewBudget(g.cfg.RetryShare, g.cfg.RetryExtra, g.cfg.RetryWindow, g.table.Sharers),
-		Metrics:      proxy.NewMetrics(g.registry),
-		Log:          g.log,
-		MinVersion:   g.minVersion,
-		Newest:       g.versions.Latest,
-		WeightsEnd:   g.versions.End,
-		ReadAdvisory: platform.ReadAdvisory,
-		AskToken:     g.askToken,
-
-		Poison: g.poison,
-		Trial:  g.beginTrial,
-		Random: rand.Float64,
+		Headers:         platform.HeaderNames(),
+		Balancer:        g.balancer,
+		Client:          g.client,
+		Budget:          proxy.NewBudget(g.cfg.RetryShare, g.cfg.RetryExtra, g.cfg.RetryWindow, g.table.Sharers),
+		Metrics:         proxy.NewMetrics(g.registry),
+		Log:             g.log,
+		MinVersion:      g.minVersion,
+		NewestVersion:   g.versions.Latest,
+		WeightsDeadline: g.versions.End,
+		ReadAdvisory:    platform.ReadAdvisory,
+		AskToken:        g.askToken,
+
+		Poison:       g.poison,
+		AcquireTrial: g.beginTrial,
+		Random:       rand.Float64,
 	})
 }
 
--- a/gateway/learn.go
+++ b/gateway/learn.go
@@ -43,7 +43,7 @@
 	g.awaitQuarantine()
 	// Limits come first: the gateway is ready once a configuration is in force.
 	g.callers.SetLimits(ConnectionLimits(config.Limits))
-	g.proxy.Use(config)
+	g.proxy.SetConfig(config)
 	g.log.Info("configuration in force", "version", config.Version, "revision", config.Revision)
 	g.inventory.Announce()
 }
--- a/gateway/proxy/budget.go
+++ b/gateway/proxy/budget.go
@@ -93,9 +93,9 @@
 // exhausted.
 const reportInterval = time.Second
 
-// UsedUp returns how the budget of a service that has just refused a request was used, or false
-// if that was reported less than reportInterval ago.
-func (b *Budget) UsedUp(service string, now time.Time) (BudgetUse, bool) {
+// ReportExhausted returns how the budget of a service that has just refused a request was used,
+// or false if that was reported less than reportInterval ago.
+func (b *Budget) ReportExhausted(service string, now time.Time) (BudgetUse, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.usage(service, now)
--- a/gateway/proxy/fleet_test.go
+++ b/gateway/proxy/fleet_test.go
@@ -123,7 +123,7 @@
 	w.budget = proxy.NewBudget(0.2, 100, 10*time.Second, func() int { return 1 })
 	w.poison, w.trials = poison.NewTable(func(poison.Change) {}), poison.NewTrials()
 	w.proxy = w.newTestProxy()
-	w.proxy.Use(configuration())
+	w.proxy.SetConfig(configuration())
 	go w.simulateTraffic(ctx)
 	f.mu.Lock()
 	w.self = member.Entry{Name: fmt.Sprintf("g%d", len(f.gateways)), Zone: "a", Heeds: true}
--- a/gateway/proxy/harness_test.go
+++ b/gateway/proxy/harness_test.go
@@ -75,9 +75,9 @@
 	minVersion atomic.Int64
 	// newest is the newest announced version.
 	newest atomic.Int64
-	// weightsEnd is the time from which no request may begin on version 1.
-	weightsEnd time.Time
-	metrics    *proxy.Metrics
+	// weightsDeadline is the time from which no request may begin on version 1.
+	weightsDeadline time.Time
+	metrics         *proxy.Metrics
 	// randomMilli is the gateway's random number, in thousandths.
 	randomMilli atomic.Int64
 	client      *upstream.Client
@@ -150,7 +150,7 @@
 		w.budget = proxy.NewBudget(0.2, 100, 10*time.Second, func() int { return 1 })
 		w.poison, w.trials = poison.NewTable(func(poison.Change) {}), poison.NewTrials()
 		w.proxy = w.newTestProxy()
-		w.proxy.Use(configuration())
+		w.proxy.SetConfig(configuration())
 		ctx, cancel := context.WithCancel(context.Background())
 		go w.simulateTraffic(ctx)
 		defer func() { // also if f fails the test
@@ -168,11 +168,11 @@
 	return proxy.New(proxy.Config{
 		Headers: names, Balancer: w.balancer, Client: w.client, Budget: w.budget,
 		Metrics: w.metrics, Log: log.NewWithOptions(&w.logs, log.Options{Formatter: log.JSONFormatter}),
-		WeightsEnd:   func(string, int64) (time.Time, bool) { return w.weightsEnd, !w.weightsEnd.IsZero() },
-		Newest:       func(string) int64 { return w.newest.Load() },
-		ReadAdvisory: readAdvisory,
-		AskToken:     w.askToken,
-		Poison:       w.poison, Trial: w.trial,
+		WeightsDeadline: func(string, int64) (time.Time, bool) { return w.weightsDeadline, !w.weightsDeadline.IsZero() },
+		NewestVersion:   func(string) int64 { return w.newest.Load() },
+		ReadAdvisory:    readAdvisory,
+		AskToken:        w.askToken,
+		Poison:          w.poison, AcquireTrial: w.trial,
 		MinVersion: func(string) int64 { return w.minVersion.Load() }, Random: func() float64 { return float64(w.randomMilli.Load()) / 1000 },
 	})
 }
@@ -215,7 +215,7 @@
 func (w *harness) useBudget(b *proxy.Budget) {
 	w.budget = b
 	w.proxy = w.newTestProxy()
-	w.proxy.Use(configuration())
+	w.proxy.SetConfig(configuration())
 }
 
 // simulateTraffic reports network traffic to the balancer, as heartbeats do.
--- a/gateway/proxy/observe.go
+++ b/gateway/proxy/observe.go
@@ -95,7 +95,7 @@
 		return true
 	}
 	p.cfg.Metrics.OverBudget.Inc(1)
-	if use, report := p.cfg.Budget.UsedUp(c.service, now); report {
+	if use, report := p.cfg.Budget.ReportExhausted(c.service, now); report {
 		p.cfg.Log.Warn("retry budget used up", "service", c.service, "requests", use.Requests, "allowed", use.Allowed,
 			"retries", use.Retries, "hedges", use.Hedges, "resumes", use.Resumes)
 	}
@@ -156,7 +156,7 @@
 	if err != nil {
 		return // the endpoint does not state its version
 	}
-	deadline, known := p.cfg.WeightsEnd(c.model, version)
+	deadline, known := p.cfg.WeightsDeadline(c.model, version)
 	now := time.Now()
 	if !known || now.Before(deadline) {
 		return
--- a/gateway/proxy/overdue_test.go
+++ b/gateway/proxy/overdue_test.go
@@ -10,7 +10,7 @@
 
 func TestAnAnswerOnWeightsPastTheirLimitIsCounted(t *testing.T) {
 	runHarness(t, func(w *harness) {
-		w.weightsEnd = time.Now().Add(time.Second)
+		w.weightsDeadline = time.Now().Add(time.Second)
 		w.send("POST", "/stream/", "x")
 		w.g.Expect(w.metrics.Overdue.Count()).To(BeZero())
 		time.Sleep(time.Second)
--- a/gateway/proxy/pick.go
+++ b/gateway/proxy/pick.go
@@ -25,7 +25,7 @@
 		q.Prefill = c.prefill()
 		// A response that has begun has no load limit: it would be cut if all endpoints were full.
 		if c.headSent {
-			q.Lasting = p.cfg.Newest(c.model)
+			q.Lasting = p.cfg.NewestVersion(c.model)
 		} else {
 			q.MaxLoad = p.maxLoad(c)
 		}
--- a/gateway/proxy/proxy.go
+++ b/gateway/proxy/proxy.go
@@ -39,20 +39,20 @@
 	Log      *log.Logger
 	// MinVersion returns the oldest version of a model on which a request may begin.
 	MinVersion func(model string) int64
-	// Newest returns the newest announced version of a model, or 0 if there is none. If nil, no
-	// version is ever announced.
-	Newest func(model string) int64
-	// WeightsEnd returns the time from which no request may begin on a version of a model, or
-	// false while that time is unknown.
-	WeightsEnd func(model string, version int64) (time.Time, bool)
+	// NewestVersion returns the newest announced version of a model, or 0 if there is none. If
+	// nil, no version is ever announced.
+	NewestVersion func(model string) int64
+	// WeightsDeadline returns the time from which no request may begin on a version of a model,
+	// or false while that time is unknown.
+	WeightsDeadline func(model string, version int64) (time.Time, bool)
 	// ReadAdvisory parses what the head of a response states about its endpoint. If nil,
 	// responses state nothing.
 	ReadAdvisory func(status int, h http.Header) advisory.Advisory
 	// Poison records the requests under which endpoints ended.
 	Poison *poison.Table
-	// Trial asks for the lease on a suspected request for at most d. It returns whether the
-	// lease was granted and a function that releases it.
-	Trial func(ctx context.Context, k poison.Key, d time.Duration) (end func(), given bool)
+	// AcquireTrial asks for the lease on a suspected request for at most d. It returns whether
+	// the lease was granted and a function that releases it.
+	AcquireTrial func(ctx context.Context, k poison.Key, d time.Duration) (release func(), granted bool)
 	// AskToken asks the gateway that holds an endpoint for permission to send one request to it,
 	// and reports whether the request may be sent now. If nil, permission is never granted.
 	AskToken func(ctx context.Context, l roster.Life) bool
@@ -69,9 +69,9 @@
 	stopAt atomic.Pointer[time.Time]
 	// stopCtx is canceled to end all requests in progress.
 	stopCtx context.Context
-	// End cancels the requests in progress. Callers that have not received a response head get
-	// an error response.
-	End context.CancelFunc
+	// CancelRequests cancels the requests in progress. Callers that have not received a response
+	// head get an error response.
+	CancelRequests context.CancelFunc
 	// callerTimeouts estimates how long callers have been waiting; refusals records when a service
 	// was last full.
 	callerTimeouts *timeoutTracker
@@ -82,8 +82,8 @@
 
 // New returns a Proxy that has no configuration yet.
 func New(cfg Config) *Proxy {
-	if cfg.Newest == nil {
-		cfg.Newest = func(string) int64 { return 0 }
+	if cfg.NewestVersion == nil {
+		cfg.NewestVersion = func(string) int64 { return 0 }
 	}
 	if cfg.ReadAdvisory == nil {
 		cfg.ReadAdvisory = func(int, http.Header) advisory.Advisory { return advisory.Advisory{Limit: advisory.Unknown{}} }
@@ -92,7 +92,7 @@
 		cfg.AskToken = func(context.Context, roster.Life) bool { return false }
 	}
 	p := &Proxy{cfg: cfg, inFlight: drain.NewTracker(), callerTimeouts: newTimeoutTracker(), refusals: newRefusals(), endpointEnds: newEndDetector(cfg.Client.Refuses)}
-	p.stopCtx, p.End = context.WithCancel(context.Background())
+	p.stopCtx, p.CancelRequests = context.WithCancel(context.Background())
 	return p
 }
 
@@ -105,9 +105,9 @@
 	return old == nil || (c.Revision > old.Revision && c.Version >= old.Version)
 }
 
-// Use puts c in force for subsequent requests and reports whether it did. A configuration that
-// is not newer than the one in force is ignored.
-func (p *Proxy) Use(c *routes.Config) bool {
+// SetConfig puts c in force for subsequent requests and reports whether it did. A configuration
+// that is not newer than the one in force is ignored.
+func (p *Proxy) SetConfig(c *routes.Config) bool {
 	for {
 		old := p.routes.Load()
 		if !supersedes(c, old) {
@@ -124,9 +124,9 @@
 	return p.routes.Load()
 }
 
-// Leave makes responses close their connections. From now on the proxy accepts only requests
-// whose deadline is no later than end, when the process stops waiting for them.
-func (p *Proxy) Leave(end time.Time) {
+// BeginShutdown makes responses close their connections. From now on the proxy accepts only
+// requests whose deadline is no later than end, when the process stops waiting for them.
+func (p *Proxy) BeginShutdown(end time.Time) {
 	p.stopAt.Store(&end)
 }
 
--- a/gateway/proxy/proxy_test.go
+++ b/gateway/proxy/proxy_test.go
@@ -75,8 +75,8 @@
 	runHarness(t, func(w *harness) {
 		newer := configuration()
 		newer.Version, newer.Revision = 2, 5
-		w.g.Expect(w.proxy.Use(newer)).To(BeTrue())
-		w.g.Expect(w.proxy.Use(configuration())).To(BeFalse())
+		w.g.Expect(w.proxy.SetConfig(newer)).To(BeTrue())
+		w.g.Expect(w.proxy.SetConfig(configuration())).To(BeFalse())
 		w.g.Expect(w.proxy.Routes().Version).To(Equal(int64(2)))
 	})
 }
@@ -247,12 +247,12 @@
 	g.Expect(b.Take("s", proxy.Hedge, now)).To(BeTrue())
 	for b.Take("s", proxy.Resume, now) {
 	}
-	use, reported := b.UsedUp("s", now)
+	use, reported := b.ReportExhausted("s", now)
 	g.Expect(reported).To(BeTrue())
 	g.Expect(use).To(Equal(proxy.BudgetUse{Requests: 1, Retries: 1, Hedges: 1, Resumes: 6, Allowed: 0.85 * 10.2}))
-	_, reported = b.UsedUp("s", now.Add(900*time.Millisecond))
+	_, reported = b.ReportExhausted("s", now.Add(900*time.Millisecond))
 	g.Expect(reported).To(BeFalse())
-	_, reported = b.UsedUp("s", now.Add(time.Second))
+	_, reported = b.ReportExhausted("s", now.Add(time.Second))
 	g.Expect(reported).To(BeTrue())
 }
 
@@ -457,7 +457,7 @@
 
 func TestAStoppingGatewayClosesItsConnections(t *testing.T) {
 	runHarness(t, func(w *harness) {
-		w.proxy.Leave(time.Now().Add(time.Minute))
+		w.proxy.BeginShutdown(time.Now().Add(time.Minute))
 		a := w.send("POST", "/unsafe/", "x")
 		w.g.Expect(a.Code).To(Equal(200))
 		w.g.Expect(a.Header().Get("Connection")).To(Equal("close"))
@@ -477,7 +477,7 @@
 		config.Revision, config.Version = 2, 2
 		// A request finishes every 600 ms, so none may queue behind the two that are running.
 		config.Services["s"].Engine = &routes.Engine{Slots: 2, Step: 60 * time.Millisecond, Stride: 1, UsualAnswer: 20}
-		w.proxy.Use(config)
+		w.proxy.SetConfig(config)
 		for range 2 {
 			go w.send("POST", "/stream/", "x")
 		}
--- a/gateway/proxy/shutdown_test.go
+++ b/gateway/proxy/shutdown_test.go
@@ -27,7 +27,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runHarness(t, func(w *harness) {
-				w.proxy.Leave(time.Now().Add(2 * time.Second))
+				w.proxy.BeginShutdown(time.Now().Add(2 * time.Second))
 				a := w.send("POST", c.path, "x", "Deadline", c.deadline)
 				w.g.Expect(a.Code).To(Equal(c.want))
 				w.g.Expect(a.Header().Get("Connection")).To(Equal("close"))
@@ -47,14 +47,14 @@
 	for _, path := range []string{"/stream/", "/safe/", "/unsafe/"} {
 		t.Run(path, func(t *testing.T) {
 			runHarness(t, func(w *harness) {
-				time.AfterFunc(ends, w.proxy.End)
+				time.AfterFunc(ends, w.proxy.CancelRequests)
 				a := w.send("POST", path, "x", "Deadline", "1000")
 				w.g.Expect(a.aborted).To(BeFalse())
 				w.g.Expect(a.Code).To(Equal(http.StatusGatewayTimeout))
 				w.g.Expect(a.elapsed).To(Equal(ends))
 				w.g.Expect(a.Header().Get(verdict.Header)).To(Equal("may-have-run"))
 				w.g.Expect(w.balancer.InFlight()).To(BeEmpty())
-				w.proxy.Leave(time.Now())
+				w.proxy.BeginShutdown(time.Now())
 				a = w.send("POST", path, "x", "Deadline", "1000")
 				w.g.Expect(a.Code).To(Equal(http.StatusServiceUnavailable), "no request begins after that")
 				w.g.Expect(a.Header().Get(verdict.Header)).To(Equal("not-run"))
@@ -62,7 +62,7 @@
 		})
 	}
 	runHarness(t, func(w *harness) {
-		time.AfterFunc(ends, w.proxy.End)
+		time.AfterFunc(ends, w.proxy.CancelRequests)
 		a := w.send("POST", "/stream/", "x")
 		w.g.Expect(a.aborted).To(BeTrue(), "the response must not appear complete")
 		w.g.Expect(a.elapsed).To(Equal(ends))
--- a/gateway/proxy/withhold.go
+++ b/gateway/proxy/withhold.go
@@ -49,8 +49,8 @@
 // withheld. A resumed response waits for the lease, because its caller can't be told to retry.
 func (p *Proxy) acquireTrial(ctx context.Context, c *call, key poison.Key) *verdict.Error {
 	for {
-		release, given := p.cfg.Trial(ctx, key, time.Until(c.deadline))
-		if given {
+		release, granted := p.cfg.AcquireTrial(ctx, key, time.Until(c.deadline))
+		if granted {
 			c.releaseLease = release
 			return nil
 		}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -69,7 +69,7 @@
 	return gateways[slices.Index(names, poison.Owner(k, names))]
 }
 
-// beginTrial implements proxy.Config.Trial: it asks the owner of the request's key for the
+// beginTrial implements proxy.Config.AcquireTrial: it asks the owner of the request's key for the
 // lease. Where that can't be reached, as one that has just died, or knows no leases, as an
 // older program, this gateway keeps the lease for its own copies.
 func (g *Gateway) beginTrial(ctx context.Context, k poison.Key, d time.Duration) (func(), bool) {
