--- a/gateway/proxy/handover_test.go
+++ b/gateway/proxy/handover_test.go
@@ -107,7 +107,7 @@
 	}, always(stallUnlessResumed), always(stallUnlessResumed))
 }
 
-func TestAStreamThatGoesOnMeanwhileStaysWhereItIs(t *testing.T) {
+func TestAStreamThatContinuesBeforeItsHedgeRespondsIsNotMoved(t *testing.T) {
 	runHarness(t, func(w *harness) {
 		a := w.send("POST", "/stream/", "x")
 		w.g.Expect(a.aborted).To(BeFalse())
--- a/gateway/proxy/late_test.go
+++ b/gateway/proxy/late_test.go
@@ -67,7 +67,7 @@
 		w.g.Expect(w.statusFor(callerTimeout)).To(Equal(ok), "in time")
 		w.g.Expect(w.statusFor(callerTimeout-200*time.Millisecond)).To(Equal(ok), "a retry within the latency target of 0.3 s")
 		w.g.Expect(w.statusFor(callerTimeout-300*time.Millisecond)).To(Equal(refused), "late")
-		w.g.Expect(w.statusFor(callerTimeout-time.Second, "Last-Event", "7")).To(Equal(ok), "the rest of an answer")
+		w.g.Expect(w.statusFor(callerTimeout-time.Second, "Last-Event", "7")).To(Equal(ok), "a resumed response")
 		w.g.Expect(w.send(http.MethodPost, "/brief/x", "").Code).To(Equal(ok), "the caller sends no deadline")
 		time.Sleep(occupyWait)
 
--- a/gateway/proxy/proxy_test.go
+++ b/gateway/proxy/proxy_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestWithoutAConfigurationRequestsAreRefusedForNow(t *testing.T) {
+func TestRequestsWithoutAConfigurationAreRefusedWithARetryTime(t *testing.T) {
 	runHarness(t, func(w *harness) {
 		g := proxy.New(proxy.Config{Headers: names, Log: log.New(io.Discard), Metrics: proxy.NewMetrics(metrics.NewRegistry())})
 		w.proxy = g
@@ -115,12 +115,12 @@
 func TestWhatMayHaveRunIsNotRepeatedNorPromised(t *testing.T) {
 	for name, first := range map[string]handler{
 		"closed":                  raw(""),
-		"nonsense":                raw("what?\r\n\r\n"),
+		"invalid response":        raw("what?\r\n\r\n"),
 		"half an answer":          raw("HTTP/1.1 200 OK\r\nId: r1\r\nStamp: st\r\nContent-Length: 9\r\n\r\nhalf"),
 		"no signature":            raw("HTTP/1.1 200 OK\r\nId: r1\r\nContent-Length: 2\r\n\r\nok"),
 		"another request's":       raw("HTTP/1.1 200 OK\r\nId: r0\r\nStamp: st\r\nContent-Length: 2\r\n\r\nok"),
-		"503 without a word":      respond(503, "busy"),
-		"429 without a word":      respond(429, "busy"),
+		"503 that may have run":   respond(503, "busy"),
+		"429 that may have run":   respond(429, "busy"),
 		"interim, and then close": raw("HTTP/1.1 100 Continue\r\n\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestAnErrorOfAnEndpointIsPassedOnUnlessAnotherServes(t *testing.T) {
+func TestAnErrorResponseIsForwardedUnlessAnotherEndpointServes(t *testing.T) {
 	runHarness(t, func(w *harness) {
 		a := w.send("POST", "/unsafe/", "x")
 		w.g.Expect([]any{a.Code, a.Body.String(), a.Header().Get("Stamp")}).To(Equal([]any{500, "no", "st"}))
--- a/gateway/proxy/slowlink_test.go
+++ b/gateway/proxy/slowlink_test.go
@@ -50,7 +50,7 @@
 	linkDelay = 1200 * time.Millisecond
 )
 
-var errNotAvailable = errors.New("not there")
+var errNotAvailable = errors.New("version not available")
 
 // stagedEndpoint is an endpoint with version 1 of the weights that is managed by a stager. The
 // next version is not available.
