--- a/gateway/advice.go
+++ b/gateway/advice.go
@@ -25,7 +25,7 @@
 // useAdvice takes in what another gateway tells of endpoints. A relay tells it on at once.
 func (g *Gateway) useAdvice(told []member.Advice) {
 	now := time.Now()
-	changed := g.balancer.Learn(advisory.Unpack(told, now), now)
+	changed := g.balancer.MergeAdvisories(advisory.Unpack(told, now), now)
 	for _, r := range changed {
 		g.logAdvice(&r, now)
 	}
@@ -73,11 +73,11 @@
 		g.log.Debug("no token from the holder of an endpoint", "endpoint", l.ID, "peer", holder.Peer, "err", err)
 		return false
 	}
-	g.balancer.Answered(l, reply.Granted, reply.OpensIn, time.Now())
+	g.balancer.ApplyTokenReply(l, reply.Granted, reply.OpensIn, time.Now())
 	return reply.Granted && reply.OpensIn == 0
 }
 
-// askUnheard implements balance.Config.Unheard.
+// askUnheard implements balance.Config.OnStaleLimit.
 func (g *Gateway) askUnheard(l roster.Life) {
 	go g.askToken(context.Background(), l)
 }
--- a/gateway/balance/balance.go
+++ b/gateway/balance/balance.go
@@ -1,10 +1,9 @@
-// Package balance chooses the endpoint for each request: it counts requests in
-// progress, watches outcomes and ejects endpoints that fail.
+// Package balance selects an endpoint for each request. It counts outstanding requests,
+// tracks request outcomes, and ejects failing endpoints.
 //
-// It owns what this gateway believes of each endpoint. It relies on the list of
-// endpoints that the platform's store has, and on what other gateways tell of
-// their requests in progress and of endpoints that they suspect. The endpoints of
-// each service are a shard under a lock of its own.
+// The package holds this gateway's view of each endpoint. Its inputs are the endpoint list
+// from the platform's store, and the outstanding requests and suspected endpoints reported
+// by other gateways. The endpoints of each service form a shard with its own lock.
 package balance
 
 import (
@@ -14,71 +13,77 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// Query says what an endpoint is wanted for.
+// Query describes the endpoint that a request needs.
 type Query struct {
 	Service string
-	// Model and MinVersion are weights that the endpoint must hold; empty for none.
+	// Model and MinVersion name the weights that the endpoint must hold; empty if none are
+	// required.
 	Model      string
 	MinVersion int64
-	// Lasting, unless it is 0, is the version of Model that endpoints stay with: one that
-	// holds an older one loads it soon, and cuts then what runs there.
-	Lasting int64
-	// Exclude are endpoints that must not have the request, by ID, and Among, unless it is
-	// empty, the only ones that may.
-	Exclude, Among []string
-	// Reloaded is an endpoint that may have the request although it is excluded.
+	// LatestVersion, if nonzero, is the newest version of Model. An endpoint that holds an
+	// older version will reload soon, which interrupts the requests running there.
+	LatestVersion int64
+	// Exclude lists the IDs of endpoints that must not be selected. Include, if not empty,
+	// lists the only IDs that may be selected.
+	Exclude, Include []string
+	// Reloaded names an endpoint that may be selected in spite of Exclude.
 	Reloaded Reloaded
-	// MaxLoad is the load, in requests for each slot, at which an endpoint is
-	// full; zero means no limit.
+	// MaxLoad is the load, in requests per slot, at which an endpoint counts as full; zero
+	// means no limit.
 	MaxLoad float64
-	// Healthy asks for an endpoint that is not ejected, paused or suspected, also where
-	// there is no other.
+	// Healthy rules out ejected, paused, and suspected endpoints even if there are no
+	// others.
 	Healthy bool
-	// MaxIdle, unless it is 0, asks for an endpoint that answers: not one that sent nothing
-	// for longer on any of this gateway's requests, nor, while most are so, one of which
-	// nothing is known.
+	// MaxIdle, if nonzero, restricts the selection to responsive endpoints. It rules out
+	// endpoints that have sent nothing on any of this gateway's requests for longer than
+	// MaxIdle and, while most endpoints are in that state, endpoints whose responsiveness
+	// is unknown.
 	MaxIdle time.Duration
-	// Apart asks for the least busy endpoint, whoever prefers it.
-	Apart bool
-	// Prefill is how long a model engine reads the prompt before the answer
-	// begins; it delays all other requests there.
+	// LeastLoaded selects the least loaded endpoint, whichever gateway prefers it.
+	LeastLoaded bool
+	// Prefill is how long a model engine processes the prompt before the response begins;
+	// this delays all other requests at the endpoint.
 	Prefill time.Duration
 }
 
-// Reloaded is an endpoint that had a request and may have it again once it holds a newer
-// version of its model than From: it broke off what ran there to load that.
+// Reloaded identifies an endpoint that interrupted a request in order to load a newer
+// version of its model. It may receive the request again once it holds a version newer than
+// FromVersion.
 type Reloaded struct {
-	ID   string
-	From int64
+	ID          string
+	FromVersion int64
 }
 
-// Config holds what a Balancer relies on.
+// Config holds the settings and dependencies of a Balancer.
 type Config struct {
 	// Zone is this gateway's availability zone.
 	Zone string
-	// OtherLoad returns how many requests other gateways have at an endpoint.
+	// OtherLoad returns the number of requests that other gateways have outstanding at an
+	// endpoint.
 	OtherLoad func(roster.Life) int
-	// Suspected returns whether another gateway suspects an endpoint; nil means that
-	// none does.
+	// Suspected reports whether another gateway suspects an endpoint; nil means that none
+	// does.
 	Suspected func(roster.Life) bool
-	// Random returns a number from [0, 1).
+	// Random returns a number in [0, 1).
 	Random func() float64
-	// Observe hears of each change of belief. It is called under a lock and must not
-	// wait; nil means that nobody does.
-	Observe func(Belief)
-	// Advised hears that an endpoint said something new in an answer, to be told to other
-	// gateways. It is called under a lock and must not wait; nil means that nobody does.
-	Advised func()
-	// Unheard hears of an endpoint with a limit of which nothing was heard for long, so that
-	// its holder is asked for a token. It is called as Advised is.
-	Unheard func(roster.Life)
+	// OnHealthChange, if not nil, is called for each health change of an endpoint. It is
+	// called with a lock held and must not block.
+	OnHealthChange func(HealthEvent)
+	// OnAdvisory, if not nil, is called when a response carries new advisory information
+	// that should be sent to other gateways. It is called with a lock held and must not
+	// block.
+	OnAdvisory func()
+	// OnStaleLimit, if not nil, is called for a rate-limited endpoint that no gateway has
+	// heard from for a long time, so that a token can be requested from its holder. It is
+	// called with a lock held and must not block.
+	OnStaleLimit func(roster.Life)
 }
 
-// Balancer chooses endpoints. It is safe for concurrent use.
+// Balancer selects endpoints. It is safe for concurrent use.
 type Balancer struct {
 	cfg Config
-	// lastTraffic is when anything last came from another process; see NoteTraffic.
-	lastTraffic moment
+	// lastTraffic is when anything was last received from another process; see NoteTraffic.
+	lastTraffic atomicTime
 
 	mu       sync.RWMutex
 	services map[string]*shard
@@ -89,25 +94,26 @@
 	if cfg.Suspected == nil {
 		cfg.Suspected = func(roster.Life) bool { return false }
 	}
-	if cfg.Observe == nil {
-		cfg.Observe = func(Belief) {}
+	if cfg.OnHealthChange == nil {
+		cfg.OnHealthChange = func(HealthEvent) {}
 	}
-	if cfg.Advised == nil {
-		cfg.Advised = func() {}
+	if cfg.OnAdvisory == nil {
+		cfg.OnAdvisory = func() {}
 	}
-	if cfg.Unheard == nil {
-		cfg.Unheard = func(roster.Life) {}
+	if cfg.OnStaleLimit == nil {
+		cfg.OnStaleLimit = func(roster.Life) {}
 	}
 	return &Balancer{cfg: cfg, services: map[string]*shard{}}
 }
 
-// NoteTraffic notes that something came from another process, so that this gateway
-// and its link are well. While nothing comes at all, no endpoint counts as idle.
+// NoteTraffic records that something was received from another process, which shows that
+// this gateway and its network link work. While nothing is received from any process, no
+// endpoint counts as idle.
 func (b *Balancer) NoteTraffic(now time.Time) {
-	b.lastTraffic.note(now)
+	b.lastTraffic.store(now)
 }
 
-// Update takes in the list of endpoints. What is known of those that stay is kept.
+// Update replaces the list of endpoints. The state of endpoints that remain is kept.
 func (b *Balancer) Update(l *roster.List) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -133,9 +139,9 @@
 	}
 }
 
-// Pick chooses an endpoint and counts a request there until the lease is done. It
-// returns *FullError when endpoints exist and all are at their limit, or
-// *NoEndpointError when none may take the request at all.
+// Pick selects an endpoint and counts a request there until the lease is done. It returns
+// *FullError if endpoints exist but all are at their limit, and *NoEndpointError if none is
+// eligible for the request.
 func (b *Balancer) Pick(q *Query, now time.Time) (*Lease, error) {
 	s := b.shard(q.Service)
 	if s == nil {
@@ -147,15 +153,15 @@
 	if err != nil {
 		return nil, err
 	}
-	chosen.begin(now)
-	chosen.said.limit.take(now)
+	chosen.addRequest(now)
+	chosen.advisory.limit.noteSent(now)
 	chosen.prefill += q.Prefill
-	chosen.health.beginTrial(now)
+	chosen.health.beginProbe(now)
 	return &Lease{Record: chosen.record, balancer: b, shard: s, endpoint: chosen, prefill: q.Prefill}, nil
 }
 
-// Prefer tells which endpoints this gateway prefers to others, by ID.
-func (b *Balancer) Prefer(ids map[string]bool) {
+// SetPreferred sets the endpoints that this gateway prefers, by ID.
+func (b *Balancer) SetPreferred(ids map[string]bool) {
 	b.eachShard(func(s *shard) {
 		for id, e := range s.endpoints {
 			e.preferred = ids[id]
@@ -163,32 +169,33 @@
 	})
 }
 
-// Announcement is what the process beside an endpoint tells of it.
+// Announcement is a notice from an endpoint's sidecar.
 type Announcement struct {
-	// Addr is the endpoint's address as that process knows it, and Born tells which of its
-	// lives is meant, as in roster.Life.
+	// Addr is the endpoint's address as the sidecar knows it. Born identifies the
+	// incarnation of the endpoint, as in roster.Life.
 	Addr string
 	Born int64
-	// PausedUntil is until when no request is to be sent there. A time that has passed
-	// ends an earlier pause.
+	// PausedUntil is the time until which the endpoint must not receive requests. A time in
+	// the past ends an earlier pause.
 	PausedUntil time.Time
-	// Weights are what it runs, if any are named.
+	// Weights are the weights that the endpoint serves, if the notice names any.
 	Weights roster.Weights
 }
 
-// Announce takes in what the process beside an endpoint told. Where that is of a later
-// life than the record in the store, which follows by a second or two, the endpoint counts
-// as started again; what is told of an earlier one is out of date.
-func (b *Balancer) Announce(a Announcement) {
-	isMeant := b.meant(a.Addr)
+// ApplyAnnouncement applies a notice from a sidecar. If the notice is from a later
+// incarnation than the record in the store, which follows within a second or two, the
+// endpoint counts as restarted. A notice from an earlier incarnation is out of date and
+// ignored.
+func (b *Balancer) ApplyAnnouncement(a Announcement) {
+	matches := b.addrMatcher(a.Addr)
 	b.eachShard(func(s *shard) {
 		for id, e := range s.endpoints {
-			told := roster.Life{ID: id, Born: a.Born}
-			if !isMeant(e.record) || told.Before(e.record.Life()) {
+			announced := roster.Life{ID: id, Born: a.Born}
+			if !matches(e.record) || announced.Before(e.record.Life()) {
 				continue
 			}
-			if !told.Same(e.record.Life()) {
-				e = s.restart(e, startedAgain(e.record, a.Born))
+			if !announced.Same(e.record.Life()) {
+				e = s.restart(e, restartedRecord(e.record, a.Born))
 			}
 			e.health.pausedUntil = a.PausedUntil
 			if a.Weights.Model != "" {
@@ -198,9 +205,10 @@
 	})
 }
 
-// meant returns which endpoints the process beside one means by an address: that with the
-// address, or where none has it, those of the VM.
-func (b *Balancer) meant(addr string) func(*roster.Endpoint) bool {
+// addrMatcher returns a function that reports whether a sidecar's notice for addr concerns
+// an endpoint. Endpoints with that address match or, if there are none, all endpoints on
+// the same VM.
+func (b *Balancer) addrMatcher(addr string) func(*roster.Endpoint) bool {
 	known := false
 	b.eachShard(func(s *shard) {
 		for _, e := range s.endpoints {
@@ -214,14 +222,14 @@
 	return func(r *roster.Endpoint) bool { return roster.VM(r.Addr) == vm }
 }
 
-// startedAgain returns what is known of an endpoint that started again: it holds nothing.
-func startedAgain(r *roster.Endpoint, born int64) *roster.Endpoint {
-	again := *r
-	again.Born, again.Leaving, again.Weights = born, false, nil
-	return &again
+// restartedRecord returns the record of a restarted endpoint, which holds no weights yet.
+func restartedRecord(r *roster.Endpoint, born int64) *roster.Endpoint {
+	restarted := *r
+	restarted.Born, restarted.Leaving, restarted.Weights = born, false, nil
+	return &restarted
 }
 
-// InFlight returns this gateway's requests in progress by endpoint.
+// InFlight returns this gateway's outstanding requests by endpoint.
 func (b *Balancer) InFlight() map[roster.Life]int {
 	out := map[roster.Life]int{}
 	b.eachShard(func(s *shard) {
@@ -234,8 +242,8 @@
 	return out
 }
 
-// Suspects returns the endpoints that were idle on several requests at once, while
-// this gateway has ejected them or is about to try them.
+// Suspects returns the endpoints that were unresponsive to several concurrent requests and
+// that this gateway has ejected or is about to probe.
 func (b *Balancer) Suspects(now time.Time) []roster.Life {
 	var out []roster.Life
 	b.eachShard(func(s *shard) { out = append(out, s.suspects(now)...) })
@@ -248,7 +256,7 @@
 	return b.services[service]
 }
 
-// eachShard calls f with each shard, under its lock.
+// eachShard calls f for each shard, with the shard's lock held.
 func (b *Balancer) eachShard(f func(*shard)) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -259,13 +267,13 @@
 	}
 }
 
-// load returns the requests at e of all gateways, for each slot.
+// load returns the requests of all gateways at e, per slot.
 func (b *Balancer) load(e *endpoint) float64 {
-	return float64(b.allInFlight(e)) / float64(max(e.record.Slots, 1))
+	return float64(b.totalInFlight(e)) / float64(max(e.record.Slots, 1))
 }
 
-// allInFlight returns the requests at e of all gateways; those of others are as old as their
-// last heartbeat.
-func (b *Balancer) allInFlight(e *endpoint) int {
+// totalInFlight returns the outstanding requests of all gateways at e. The counts of other
+// gateways are as old as their last heartbeats.
+func (b *Balancer) totalInFlight(e *endpoint) int {
 	return e.inFlight + b.cfg.OtherLoad(e.record.Life())
 }
--- a/gateway/balance/balance_test.go
+++ b/gateway/balance/balance_test.go
@@ -14,12 +14,12 @@
 
 var now = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func nobody(roster.Life) int { return 0 }
-func noDraw() float64        { return 0 }
-func at(ms int) time.Time    { return now.Add(time.Duration(ms) * time.Millisecond) }
+func noOtherLoad(roster.Life) int { return 0 }
+func zeroRandom() float64         { return 0 }
+func at(ms int) time.Time         { return now.Add(time.Duration(ms) * time.Millisecond) }
 
-// endpoints returns n endpoints e0, e1 and so on of service s in zone a, with
-// version 1 of model m and two slots.
+// endpoints returns n endpoints e0, e1, and so on, of service s in zone a, with version 1
+// of model m and two slots.
 func endpoints(n int) *roster.List {
 	l := &roster.List{Revision: 1, Endpoints: map[string]*roster.Endpoint{}}
 	for i := range n {
@@ -33,17 +33,17 @@
 }
 
 func balancer(l *roster.List) *balance.Balancer {
-	return suspecting(l, nil)
+	return balancerWithSuspects(l, nil)
 }
 
-// suspecting returns a Balancer that hears from others whom they suspect.
-func suspecting(l *roster.List, suspected func(roster.Life) bool) *balance.Balancer {
-	b := balance.New(balance.Config{Zone: "a", OtherLoad: nobody, Random: noDraw, Suspected: suspected})
+// balancerWithSuspects returns a Balancer with the endpoints suspected by other gateways.
+func balancerWithSuspects(l *roster.List, suspected func(roster.Life) bool) *balance.Balancer {
+	b := balance.New(balance.Config{Zone: "a", OtherLoad: noOtherLoad, Random: zeroRandom, Suspected: suspected})
 	b.Update(l)
 	return b
 }
 
-// available returns whether a healthy endpoint for q can be chosen now.
+// available reports whether a healthy endpoint for q can be selected now.
 func available(b *balance.Balancer, q balance.Query, now time.Time) bool {
 	q.Healthy = true
 	lease, err := b.Pick(&q, now)
@@ -60,9 +60,9 @@
 	return l
 }
 
-// fail makes the endpoint of one lease after another fail until none is given
-// to it any more.
-func fail(b *balance.Balancer, id string, o balance.Outcome, t time.Time) {
+// failUntilEjected records outcome o for requests at endpoint id until another endpoint is
+// selected.
+func failUntilEjected(b *balance.Balancer, id string, o balance.Outcome, t time.Time) {
 	GinkgoHelper()
 	for range 100 {
 		l := pick(b, balance.Query{Service: "s"}, t)
@@ -72,17 +72,17 @@
 		}
 		l.Done(o, t)
 	}
-	Fail("endpoint " + id + " is still chosen")
+	Fail("endpoint " + id + " is still selected")
 }
 
 var _ = Describe("Balancer", func() {
 	s := balance.Query{Service: "s"}
 
-	It("spreads requests by those in progress, also of other entries", func() {
+	It("distributes requests by outstanding requests, including those of other gateways", func() {
 		others := map[string]int{"e0": 2}
-		b := balance.New(balance.Config{Zone: "a", OtherLoad: func(l roster.Life) int { return others[l.ID] }, Random: noDraw})
+		b := balance.New(balance.Config{Zone: "a", OtherLoad: func(l roster.Life) int { return others[l.ID] }, Random: zeroRandom})
 		b.Update(endpoints(3))
-		b.Prefer(map[string]bool{"e0": true, "e1": true, "e2": true})
+		b.SetPreferred(map[string]bool{"e0": true, "e1": true, "e2": true})
 		got := map[string]int{}
 		for range 4 {
 			got[pick(b, s, now).Record.ID]++
@@ -90,9 +90,9 @@
 		Expect(got).To(Equal(map[string]int{"e1": 2, "e2": 2}))
 	})
 
-	It("compares two of those that others prefer", func() {
+	It("samples two of the endpoints that other gateways prefer", func() {
 		draw := rand.New(rand.NewPCG(1, 1))
-		b := balance.New(balance.Config{Zone: "a", OtherLoad: nobody, Random: draw.Float64})
+		b := balance.New(balance.Config{Zone: "a", OtherLoad: noOtherLoad, Random: draw.Float64})
 		b.Update(endpoints(20))
 		got := map[string]int{}
 		const picks = 4000
@@ -107,9 +107,9 @@
 		Expect(got).To(HaveLen(20))
 	})
 
-	It("does not refuse while any that others prefer has room", func() {
+	It("accepts requests while any endpoint that other gateways prefer has capacity", func() {
 		draw := rand.New(rand.NewPCG(1, 1))
-		b := balance.New(balance.Config{Zone: "a", OtherLoad: nobody, Random: draw.Float64})
+		b := balance.New(balance.Config{Zone: "a", OtherLoad: noOtherLoad, Random: draw.Float64})
 		b.Update(endpoints(20))
 		full := balance.Query{Service: "s", MaxLoad: 1}
 		for range 20 * 2 {
@@ -119,7 +119,7 @@
 		Expect(err).To(Equal(&balance.FullError{Service: "s"}))
 	})
 
-	It("says whether endpoints are full or missing", func() {
+	It("distinguishes full endpoints from missing ones", func() {
 		b := balancer(endpoints(1))
 		q := balance.Query{Service: "s", MaxLoad: 1}
 		pick(b, q, now)
@@ -130,28 +130,28 @@
 		Expect(err).To(Equal(&balance.NoEndpointError{Service: "other"}))
 	})
 
-	It("prefers the zone, the owned and those with little to read", func() {
+	It("prefers its own zone, preferred endpoints, and short pending prefill", func() {
 		l := endpoints(3)
 		l.Endpoints["e0"].Zone = "b"
 		b := balancer(l)
-		b.Prefer(map[string]bool{"e2": true})
+		b.SetPreferred(map[string]bool{"e2": true})
 		q := balance.Query{Service: "s", Prefill: 200 * time.Millisecond}
 		first := pick(b, q, now)
 		Expect(first.Record.ID).To(Equal("e2"))
 		first.Done(balance.Served, now)
 		first = pick(b, q, now)
 		Expect(pick(b, q, now).Record.ID).To(Equal("e1"))
-		Expect(pick(b, q, now).Record.ID).To(Equal("e0"), "the others read long prompts")
+		Expect(pick(b, q, now).Record.ID).To(Equal("e0"), "the others have pending prefill")
 		first.PrefillDone()
 	})
 
-	It("fills its own endpoints and leaves those of others some room", func() {
+	It("fills preferred endpoints and reserves capacity on those of other gateways", func() {
 		l := endpoints(2)
 		for _, e := range l.Endpoints {
 			e.Slots = 10
 		}
 		b := balancer(l)
-		b.Prefer(map[string]bool{"e0": true})
+		b.SetPreferred(map[string]bool{"e0": true})
 		q := balance.Query{Service: "s", MaxLoad: 1.2}
 		got := map[string]int{}
 		for {
@@ -164,7 +164,7 @@
 		Expect(got).To(Equal(map[string]int{"e0": 12, "e1": 7}))
 	})
 
-	It("fills all endpoints when it owns none", func() {
+	It("fills all endpoints when it prefers none", func() {
 		b := balancer(endpoints(1))
 		q := balance.Query{Service: "s", MaxLoad: 1}
 		pick(b, q, now)
@@ -172,7 +172,7 @@
 		Expect(available(b, q, now)).To(BeFalse())
 	})
 
-	It("leaves out endpoints that leave, were tried or hold old weights", func() {
+	It("skips endpoints that are leaving, were tried, or hold old weights", func() {
 		l := endpoints(4)
 		l.Endpoints["e0"].Leaving = true
 		l.Endpoints["e1"].Weights[0].Version = 2
@@ -187,52 +187,52 @@
 		Expect(err).To(Equal(&balance.NoEndpointError{Service: "s"}))
 	})
 
-	It("believes a notice of new weights before the list tells them", func() {
+	It("uses announced weights before the endpoint list contains them", func() {
 		b := balancer(endpoints(1))
 		q := balance.Query{Service: "s", Model: "m", MinVersion: 2}
 		_, err := b.Pick(&q, now)
 		Expect(err).To(Equal(&balance.NoEndpointError{Service: "s"}))
-		b.Announce(balance.Announcement{Addr: "e0:1", PausedUntil: now, Weights: roster.Weights{Model: "m", Version: 2}})
+		b.ApplyAnnouncement(balance.Announcement{Addr: "e0:1", PausedUntil: now, Weights: roster.Weights{Model: "m", Version: 2}})
 		lease := pick(b, q, now)
 		Expect(lease.Holds("m")).To(Equal(int64(2)))
 	})
 
-	It("sends nothing to an endpoint that asked for a pause while others are there", func() {
+	It("sends nothing to a paused endpoint while there are others", func() {
 		b := balancer(endpoints(2))
-		b.Announce(balance.Announcement{Addr: "e0:1", PausedUntil: at(500), Weights: roster.Weights{}})
+		b.ApplyAnnouncement(balance.Announcement{Addr: "e0:1", PausedUntil: at(500), Weights: roster.Weights{}})
 		for range 4 {
 			Expect(pick(b, s, now).Record.ID).To(Equal("e1"))
 		}
 		Expect(pick(b, s, at(500)).Record.ID).To(Equal("e0"))
 	})
 
-	// Guards against pauses and weights that no gateway takes in, where the process beside an
-	// endpoint knows it by another port than callers.
-	It("takes what is told of an address on the VM for its endpoint", func() {
+	// Guards against ignored pauses and weights when a sidecar knows its endpoint by a
+	// different port than clients.
+	It("applies an announcement for another port to the endpoint on the same VM", func() {
 		l := endpoints(2)
 		l.Endpoints["e0"].Addr, l.Endpoints["e1"].Addr = "10.0.0.1:80", "10.0.0.2:80"
 		b := balancer(l)
-		b.Announce(balance.Announcement{Addr: "10.0.0.1:81", PausedUntil: at(500)})
+		b.ApplyAnnouncement(balance.Announcement{Addr: "10.0.0.1:81", PausedUntil: at(500)})
 		for range 4 {
 			Expect(pick(b, s, now).Record.ID).To(Equal("e1"))
 		}
 	})
 
-	It("takes what is told of an address for the endpoint that has it", func() {
+	It("applies an announcement to the endpoint with exactly that address", func() {
 		l := endpoints(2)
 		l.Endpoints["e0"].Addr, l.Endpoints["e1"].Addr = "10.0.0.1:80", "10.0.0.1:81"
 		b := balancer(l)
-		b.Announce(balance.Announcement{Addr: "10.0.0.1:81", PausedUntil: at(500)})
+		b.ApplyAnnouncement(balance.Announcement{Addr: "10.0.0.1:81", PausedUntil: at(500)})
 		for range 4 {
 			Expect(pick(b, s, now).Record.ID).To(Equal("e0"))
 		}
 	})
 
-	It("spreads what a load cut over all endpoints, also those with older weights", func() {
+	It("distributes requests interrupted by a reload over all endpoints, including those with older weights", func() {
 		l := endpoints(4)
 		l.Endpoints["e3"].Weights[0].Version = 2
 		b := balancer(l)
-		b.Prefer(map[string]bool{"e0": true, "e1": true, "e2": true, "e3": true})
+		b.SetPreferred(map[string]bool{"e0": true, "e1": true, "e2": true, "e3": true})
 		q := balance.Query{Service: "s", Model: "m", Exclude: []string{"e0"}}
 		chosen := map[string]int{}
 		for range 6 {
@@ -241,39 +241,39 @@
 		Expect(chosen).To(Equal(map[string]int{"e1": 2, "e2": 2, "e3": 2}))
 	})
 
-	It("leaves a failing endpoint alone, tries it with one request and takes it back", func() {
+	It("ejects a failing endpoint, probes it with one request, and restores it", func() {
 		b := balancer(endpoints(2))
-		b.Prefer(map[string]bool{"e0": true})
-		fail(b, "e0", balance.Failed, now)
+		b.SetPreferred(map[string]bool{"e0": true})
+		failUntilEjected(b, "e0", balance.Failed, now)
 		Expect(pick(b, s, at(400)).Record.ID).To(Equal("e1"))
 		b = balancer(endpoints(2))
-		b.Prefer(map[string]bool{"e0": true})
-		fail(b, "e0", balance.Failed, now)
+		b.SetPreferred(map[string]bool{"e0": true})
+		failUntilEjected(b, "e0", balance.Failed, now)
 		trial := pick(b, s, at(600))
 		Expect(trial.Record.ID).To(Equal("e0"))
-		Expect(pick(b, s, at(600)).Record.ID).To(Equal("e1"), "one trial at a time")
+		Expect(pick(b, s, at(600)).Record.ID).To(Equal("e1"), "one probe at a time")
 		trial.Done(balance.Served, at(700))
 		Expect(pick(b, s, at(700)).Record.ID).To(Equal("e0"))
 	})
 
-	It("leaves an unreachable endpoint alone at once, and one whose address has another owner for good", func() {
+	It("ejects an unreachable endpoint at once, and one whose address was reassigned permanently", func() {
 		b := balancer(endpoints(2))
-		b.Prefer(map[string]bool{"e0": true})
+		b.SetPreferred(map[string]bool{"e0": true})
 		pick(b, s, now).Done(balance.Unreachable, now)
 		Expect(pick(b, s, at(1)).Record.ID).To(Equal("e1"))
 		b = balancer(endpoints(2))
-		b.Prefer(map[string]bool{"e0": true})
+		b.SetPreferred(map[string]bool{"e0": true})
 		pick(b, s, now).Done(balance.Misdirected, now)
 		Expect(pick(b, s, at(60_000)).Record.ID).To(Equal("e1"))
 	})
 
-	It("uses a failing endpoint when there is no other", func() {
+	It("uses an ejected endpoint when there is no other", func() {
 		b := balancer(endpoints(1))
 		pick(b, s, now).Done(balance.Unreachable, now)
 		Expect(pick(b, s, at(1)).Record.ID).To(Equal("e0"))
 	})
 
-	It("tells for how long an endpoint was silent on all its streams", func() {
+	It("reports how long an endpoint was idle on all its streams", func() {
 		b := balancer(endpoints(1))
 		one, other := pick(b, s, now), pick(b, s, now)
 		other.Received(at(300))
@@ -282,7 +282,7 @@
 		Expect(one.Idle(at(500), at(700))).To(Equal(200 * time.Millisecond))
 	})
 
-	It("puts it down to itself when it hears nobody", func() {
+	It("attributes idleness to itself when it receives nothing from any process", func() {
 		b := balancer(endpoints(1))
 		lease := pick(b, s, now)
 		lease.Received(at(100))
@@ -291,7 +291,7 @@
 		Expect(lease.Idle(now, at(5000))).To(Equal(4900 * time.Millisecond))
 	})
 
-	It("counts each request until it is done", func() {
+	It("counts each request until its lease is done", func() {
 		b := balancer(endpoints(1))
 		l := pick(b, s, now)
 		Expect(b.InFlight()).To(Equal(map[roster.Life]int{{ID: "e0"}: 1}))
@@ -300,8 +300,9 @@
 	})
 })
 
-// others returns the endpoints, of e0 to e3, that have none of leases.
-func others(leases []*balance.Lease) []string {
+// allButFirst returns the endpoints among e0 to e3 other than that of the first lease, or
+// nil if there are no leases.
+func allButFirst(leases []*balance.Lease) []string {
 	if len(leases) == 0 {
 		return nil
 	}
@@ -315,25 +316,25 @@
 }
 
 var _ = Describe("Suspicion", func() {
-	// silence makes n requests at one endpoint silent together.
+	// silence makes n concurrent requests at one endpoint unresponsive and returns its ID.
 	silence := func(b *balance.Balancer, n int, t time.Time) string {
 		var leases []*balance.Lease
 		for range n {
-			leases = append(leases, pick(b, balance.Query{Service: "s", Exclude: others(leases)}, t))
+			leases = append(leases, pick(b, balance.Query{Service: "s", Exclude: allButFirst(leases)}, t))
 		}
 		for _, l := range leases {
 			l.Done(balance.Unresponsive, t)
 		}
 		return leases[0].Record.ID
 	}
-	It("of an endpoint that says nothing on several requests begins at once, and others hear of it", func() {
+	It("of an endpoint that is unresponsive to several requests begins at once and is reported", func() {
 		b := balancer(endpoints(4))
 		id := silence(b, 2, now)
 		Expect(b.Suspects(now)).To(Equal([]roster.Life{{ID: id}}))
-		Expect(b.Suspects(at(2499))).To(HaveLen(1), "the trial is this entry's")
-		Expect(b.Suspects(at(2500))).To(BeEmpty(), "others need not wait for it for ever")
+		Expect(b.Suspects(at(2499))).To(HaveLen(1), "this gateway sends the probe")
+		Expect(b.Suspects(at(2500))).To(BeEmpty(), "other gateways do not wait for the probe indefinitely")
 	})
-	It("does not come of one request, whose answer may be lost", func() {
+	It("does not begin after one request, whose response may be lost", func() {
 		b := balancer(endpoints(1))
 		silence(b, 1, now)
 		Expect(b.Suspects(now)).To(BeEmpty())
@@ -343,31 +344,31 @@
 		silence(b, 1, now)
 		Expect(available(b, balance.Query{Service: "s"}, now)).To(BeFalse(), "two in a row")
 	})
-	It("ends with a trial that succeeds", func() {
+	It("ends with a successful probe", func() {
 		b := balancer(endpoints(1))
 		silence(b, 2, now)
 		pick(b, balance.Query{Service: "s"}, at(600)).Done(balance.Served, at(700))
 		Expect(b.Suspects(at(700))).To(BeEmpty())
 	})
-	It("of many endpoints is put down to this entry", func() {
+	It("of many endpoints is attributed to this gateway", func() {
 		b := balancer(endpoints(4))
 		first := silence(b, 2, now)
 		Expect(silence(b, 2, now)).NotTo(Equal(first))
 		Expect(b.Suspects(now)).To(BeEmpty())
 	})
-	It("of others keeps this entry away, unless it hears from the endpoint", func() {
+	It("by other gateways keeps this gateway away, unless it receives data from the endpoint", func() {
 		var id string
-		b := suspecting(endpoints(2), func(suspected roster.Life) bool { return suspected.ID == id })
-		heard := pick(b, balance.Query{Service: "s"}, now)
-		id = heard.Record.ID
+		b := balancerWithSuspects(endpoints(2), func(suspected roster.Life) bool { return suspected.ID == id })
+		lease := pick(b, balance.Query{Service: "s"}, now)
+		id = lease.Record.ID
 		for range 4 {
 			Expect(pick(b, balance.Query{Service: "s"}, now).Record.ID).NotTo(Equal(id))
 		}
-		heard.Received(now)
+		lease.Received(now)
 		Expect(pick(b, balance.Query{Service: "s"}, at(100)).Record.ID).To(Equal(id))
 	})
 	It("does not leave a service without endpoints", func() {
-		b := suspecting(endpoints(1), func(roster.Life) bool { return true })
+		b := balancerWithSuspects(endpoints(1), func(roster.Life) bool { return true })
 		Expect(pick(b, balance.Query{Service: "s"}, now).Record.ID).To(Equal("e0"))
 	})
 })
--- a/gateway/balance/bench_test.go
+++ b/gateway/balance/bench_test.go
@@ -7,16 +7,16 @@
 	"github.com/silverdeck/silverdeck/gateway/balance"
 )
 
-// BenchmarkPick measures one choice, at the numbers of endpoints of today and of
-// two years from now.
+// BenchmarkPick measures one selection, with the number of endpoints in current deployments
+// and with the number expected in two years.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{45, 1900} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			chooser := balancer(endpoints(n))
+			lb := balancer(endpoints(n))
 			q := &balance.Query{Service: "s", Model: "m", MaxLoad: 1.25}
 			b.ReportAllocs()
 			for b.Loop() {
-				l, err := chooser.Pick(q, now)
+				l, err := lb.Pick(q, now)
 				if err != nil {
 					b.Fatal(err)
 				}
--- /dev/null
+++ b/gateway/balance/capacity.go
@@ -0,0 +1,37 @@
+package balance
+
+import "time"
+
+// Capacity is the known capacity of an endpoint.
+type Capacity struct {
+	// Addr is the endpoint's address.
+	Addr string
+	// Slots is the number of requests that the endpoint runs concurrently; 0 while it has a
+	// rate limit. InFlight is the number of outstanding requests of all gateways; the
+	// counts of other gateways are as old as their last heartbeats.
+	Slots, InFlight int
+	// Usable is set if the endpoint accepts requests for the query.
+	Usable bool
+}
+
+// Capacities returns the capacity of each endpoint of q's service that is not leaving.
+func (b *Balancer) Capacities(q *Query, now time.Time) []Capacity {
+	s := b.shard(q.Service)
+	if s == nil {
+		return nil
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := make([]Capacity, 0, len(s.ordered))
+	for _, e := range s.ordered {
+		if e.leaving() {
+			continue
+		}
+		p := Capacity{Addr: e.record.Addr, InFlight: b.totalInFlight(e)}
+		if !e.rateLimited(now) {
+			p.Slots, p.Usable = e.record.Slots, e.eligible(q) && b.usable(e, now) && !e.inBackoff(now)
+		}
+		out = append(out, p)
+	}
+	return out
+}
--- a/gateway/balance/fleet_test.go
+++ b/gateway/balance/fleet_test.go
@@ -16,44 +16,46 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// What a played fleet does, all as on deployments that were seen.
+// Parameters of the simulation, taken from observed deployments.
 const (
-	// slots is how many requests an endpoint runs at once; more wait there.
+	// slots is the number of requests that an endpoint runs concurrently; further requests
+	// queue there.
 	slots = 8
-	// meanRun is how long a request runs in the mean, of which prefill is reading.
+	// meanRun is the mean run time of a request, of which prefill is prompt processing.
 	meanRun = 600 * time.Millisecond
 	prefill = 60 * time.Millisecond
-	// heartbeatEvery is how often gateways tell their loads, heartbeatDelay how old they
-	// are when they arrive.
-	heartbeatEvery = 200 * time.Millisecond
-	heartbeatDelay = 100 * time.Millisecond
-	// playFor is for how long requests arrive.
-	playFor = 10 * time.Second
-	// maxWaiting is how many requests wait at an endpoint before it turns others away.
-	maxWaiting = slots
-	// lateAfter is for how long a request may wait for a slot.
-	lateAfter = 200 * time.Millisecond
+	// heartbeatInterval is how often gateways report their loads, heartbeatDelay how long a
+	// report takes to arrive.
+	heartbeatInterval = 200 * time.Millisecond
+	heartbeatDelay    = 100 * time.Millisecond
+	// arrivalPeriod is how long requests arrive.
+	arrivalPeriod = 10 * time.Second
+	// maxQueued is the number of requests that an endpoint queues before it rejects more.
+	maxQueued = slots
+	// maxInTimeWait is how long a request may wait for a slot without counting as late.
+	maxInTimeWait = 200 * time.Millisecond
 )
 
-// shape is a fleet and its load. Numbers of gateways and endpoints are those of one zone.
-type shape struct {
+// scenario describes a deployment and its load. The numbers of gateways and endpoints are
+// per zone.
+type scenario struct {
 	zones, gateways, endpoints int
-	// load is the requests that run, for each slot of all endpoints.
+	// load is the mean number of running requests per slot of the endpoints that hold the
+	// weights.
 	load float64
-	// first is how many times as many requests arrive in the first zone as in others.
-	first float64
-	// holding is the share of the endpoints that hold the weights, by lot; load is that of
-	// these.
-	holding float64
+	// firstZoneFactor is the rate of requests in the first zone relative to other zones.
+	firstZoneFactor float64
+	// weightsShare is the share of endpoints, selected at random, that hold the weights.
+	weightsShare float64
 }
 
-// event is something that happens in a play.
+// event is a scheduled event of the simulation.
 type event struct {
 	at time.Duration
 	do func()
 }
 
-// events are those to come, the next one first, for container/heap.
+// events is a container/heap queue of pending events, earliest first.
 type events []event
 
 func (e events) Len() int           { return len(e) }
@@ -66,31 +68,31 @@
 	return last
 }
 
-// server is an endpoint: it runs slots requests and keeps others waiting.
+// server simulates an endpoint that runs up to slots requests and queues others.
 type server struct {
 	running int
-	waiting []func()
+	queued  []func()
 }
 
-// fleet is gateways that send requests to endpoints, on virtual time.
+// fleet simulates gateways that send requests to endpoints, in virtual time.
 type fleet struct {
-	now       time.Duration
-	events    events
-	rand      *rand.Rand
-	gateways  []*balance.Balancer
-	servers   map[string]*server
-	told      []map[roster.Life]int
-	toldByAll map[roster.Life]int
-	holding   int
+	now                  time.Duration
+	events               events
+	rand                 *rand.Rand
+	gateways             []*balance.Balancer
+	servers              map[string]*server
+	reported             []map[roster.Life]int
+	reportedTotal        map[roster.Life]int
+	endpointsWithWeights int
 
-	asked, refused, late int
-	// turnedAway are the requests that an endpoint did not take.
-	turnedAway int
+	requests, refused, late int
+	// rejected counts the requests that an endpoint did not accept.
+	rejected int
 }
 
-// play lets requests arrive at a fleet and returns it when all have ended.
-func play(s shape, seed uint64) *fleet {
-	f := &fleet{rand: rand.New(rand.NewPCG(seed, 1)), servers: map[string]*server{}, toldByAll: map[roster.Life]int{}}
+// simulate runs s and returns the fleet after all requests have ended.
+func simulate(s scenario, seed uint64) *fleet {
+	f := &fleet{rand: rand.New(rand.NewPCG(seed, 1)), servers: map[string]*server{}, reportedTotal: map[roster.Life]int{}}
 	list := &roster.List{Endpoints: map[string]*roster.Endpoint{}}
 	var live []member.Entry
 	for z := range s.zones {
@@ -98,9 +100,9 @@
 		for i := range s.endpoints {
 			id := fmt.Sprintf("%s-e%02d", zone, i)
 			list.Endpoints[id] = &roster.Endpoint{ID: id, Service: "s", Addr: id, Zone: zone, Slots: slots}
-			if f.rand.Float64() < s.holding {
+			if f.rand.Float64() < s.weightsShare {
 				list.Endpoints[id].Weights = []roster.Weights{{Model: "m", Version: 1}}
-				f.holding++
+				f.endpointsWithWeights++
 			}
 			f.servers[id] = &server{}
 		}
@@ -111,16 +113,16 @@
 	for g, self := range slices.Clone(live) {
 		b := balance.New(balance.Config{
 			Zone:      self.Zone,
-			OtherLoad: func(l roster.Life) int { return f.toldByAll[l] - f.told[g][l] },
+			OtherLoad: func(l roster.Life) int { return f.reportedTotal[l] - f.reported[g][l] },
 			Random:    f.rand.Float64,
 		})
 		b.Update(list)
-		b.Prefer(affinity.Preferred(list, live, self.Name))
+		b.SetPreferred(affinity.Preferred(list, live, self.Name))
 		f.gateways = append(f.gateways, b)
-		f.told = append(f.told, nil)
+		f.reported = append(f.reported, nil)
 	}
-	f.arrive(s, f.weights(s))
-	f.tell()
+	f.arrive(s, f.cumulativeWeights(s))
+	f.publishLoads()
 	for len(f.events) > 0 {
 		next := heap.Pop(&f.events).(event)
 		f.now = next.at
@@ -129,15 +131,16 @@
 	return f
 }
 
-// weights returns the part of the requests that comes to each gateway, summed up. Clients
-// are no fewer than gateways, but not the same number for each.
-func (f *fleet) weights(s shape) []float64 {
+// cumulativeWeights returns the cumulative share of requests that each gateway receives.
+// The shares vary because the number of clients is not the same for each gateway, though
+// each has some.
+func (f *fleet) cumulativeWeights(s scenario) []float64 {
 	var out []float64
 	sum := 0.0
 	for g := range f.gateways {
 		w := 0.5 + f.rand.Float64()
 		if g < s.gateways {
-			w *= s.first
+			w *= s.firstZoneFactor
 		}
 		sum += w
 		out = append(out, sum)
@@ -149,19 +152,19 @@
 	heap.Push(&f.events, event{f.now + d, do})
 }
 
-// arrive lets one request come to one of the gateways, and then the next.
-func (f *fleet) arrive(s shape, weights []float64) {
+// arrive sends one request to a random gateway and schedules the next.
+func (f *fleet) arrive(s scenario, weights []float64) {
 	draw := f.rand.Float64() * weights[len(weights)-1]
 	g, _ := slices.BinarySearch(weights, draw)
 	f.request(f.gateways[g])
-	between := float64(meanRun) / (s.load * float64(f.holding*slots))
-	if f.now < playFor {
-		f.after(time.Duration(f.rand.ExpFloat64()*between), func() { f.arrive(s, weights) })
+	meanInterval := float64(meanRun) / (s.load * float64(f.endpointsWithWeights*slots))
+	if f.now < arrivalPeriod {
+		f.after(time.Duration(f.rand.ExpFloat64()*meanInterval), func() { f.arrive(s, weights) })
 	}
 }
 
-// tell lets all gateways tell their loads, and then again.
-func (f *fleet) tell() {
+// publishLoads sends the loads of all gateways to each other and schedules the next report.
+func (f *fleet) publishLoads() {
 	loads := make([]map[roster.Life]int, len(f.gateways))
 	sum := map[roster.Life]int{}
 	for g, b := range f.gateways {
@@ -170,16 +173,16 @@
 			sum[l] += n
 		}
 	}
-	f.after(heartbeatDelay, func() { f.told, f.toldByAll = loads, sum })
-	if f.now < playFor {
-		f.after(heartbeatEvery, f.tell)
+	f.after(heartbeatDelay, func() { f.reported, f.reportedTotal = loads, sum })
+	if f.now < arrivalPeriod {
+		f.after(heartbeatInterval, f.publishLoads)
 	}
 }
 
-// request is a stream that comes to gateway b.
+// request simulates a stream that arrives at gateway b.
 func (f *fleet) request(b *balance.Balancer) {
-	f.asked++
-	came := f.now
+	f.requests++
+	arrivedAt := f.now
 	lease, err := b.Pick(&balance.Query{Service: "s", Model: "m", MinVersion: 1, MaxLoad: 1.25, Prefill: prefill}, at(0).Add(f.now))
 	if err != nil {
 		f.refused++
@@ -187,95 +190,96 @@
 	}
 	x := f.servers[lease.Record.ID]
 	run := func() {
-		if f.now-came > lateAfter {
+		if f.now-arrivedAt > maxInTimeWait {
 			f.late++
 		}
 		x.running++
-		takes := prefill + time.Duration(f.rand.ExpFloat64()*float64(meanRun-prefill))
+		runTime := prefill + time.Duration(f.rand.ExpFloat64()*float64(meanRun-prefill))
 		f.after(prefill, lease.PrefillDone)
-		f.after(takes, func() {
+		f.after(runTime, func() {
 			lease.Done(balance.Served, at(0).Add(f.now))
-			x.next()
+			x.finish()
 		})
 	}
 	if x.running < slots {
 		run()
 		return
 	}
-	if len(x.waiting) >= maxWaiting {
-		f.turnedAway++
+	if len(x.queued) >= maxQueued {
+		f.rejected++
 		lease.Done(balance.Refused, at(0).Add(f.now))
 		return
 	}
-	x.waiting = append(x.waiting, run)
+	x.queued = append(x.queued, run)
 }
 
-// next takes a request off that has run, and begins one that waits.
-func (x *server) next() {
+// finish ends a running request and starts a queued one.
+func (x *server) finish() {
 	x.running--
-	if len(x.waiting) == 0 {
+	if len(x.queued) == 0 {
 		return
 	}
-	run := x.waiting[0]
-	x.waiting = x.waiting[1:]
+	run := x.queued[0]
+	x.queued = x.queued[1:]
 	run()
 }
 
-// A calm day with 149 gateways and 204 endpoints had one request of ten late, some by
-// seconds, and the busiest endpoint had 1.4 times the mean, while other endpoints stood
-// idle; with 9 gateways at the same load hardly any was. Each gateway preferred one or two
-// endpoints. What was too much for these it sent to those that had the least load by what
-// others had told 0.1 to 0.3 s before, and so did all others, to the same ones.
+// Guards against placement that gets worse as the number of gateways grows. With 149
+// gateways and 204 endpoints at moderate load, a tenth of the requests were late, some by
+// seconds, and the busiest endpoint had 1.4 times the mean load while others were idle;
+// with 9 gateways at the same load hardly any were late. Each gateway preferred only one or
+// two endpoints and sent its excess to the least loaded of the others, according to loads
+// 0.1 to 0.3 s old, so all gateways selected the same ones.
 func TestTheFleetPlacesRequestsAsWellWhateverItsSize(t *testing.T) {
 	for _, x := range []struct {
-		shape
-		// late and refused are the shares that may be.
+		scenario
+		// late and refused are the highest allowed shares of requests.
 		late, refused float64
 	}{
-		{shape{zones: 3, gateways: 3, endpoints: 4, load: 0.7, first: 1, holding: 1}, 0.02, 0.001},
-		{shape{zones: 3, gateways: 3, endpoints: 4, load: 0.85, first: 1, holding: 1}, 0.08, 0.02},
-		{shape{zones: 3, gateways: 13, endpoints: 15, load: 0.7, first: 1, holding: 1}, 0.02, 0.001},
-		{shape{zones: 3, gateways: 13, endpoints: 15, load: 0.85, first: 1, holding: 1}, 0.08, 0.001},
-		{shape{zones: 5, gateways: 19, endpoints: 24, load: 0.7, first: 1, holding: 1}, 0.02, 0.001},
-		{shape{zones: 5, gateways: 19, endpoints: 24, load: 0.85, first: 1, holding: 1}, 0.08, 0.001},
-		{shape{zones: 5, gateways: 19, endpoints: 24, load: 0.7, first: 1.5, holding: 1}, 0.04, 0.001},
-		{shape{zones: 5, gateways: 19, endpoints: 24, load: 0.7, first: 1, holding: 0.2}, 0.06, 0.001},
-		{shape{zones: 5, gateways: 19, endpoints: 24, load: 0.7, first: 1, holding: 0.5}, 0.06, 0.001},
-		{shape{zones: 5, gateways: 30, endpoints: 24, load: 0.7, first: 1, holding: 1}, 0.03, 0.001},
-		{shape{zones: 5, gateways: 30, endpoints: 24, load: 0.85, first: 1, holding: 1}, 0.10, 0.001},
+		{scenario{zones: 3, gateways: 3, endpoints: 4, load: 0.7, firstZoneFactor: 1, weightsShare: 1}, 0.02, 0.001},
+		{scenario{zones: 3, gateways: 3, endpoints: 4, load: 0.85, firstZoneFactor: 1, weightsShare: 1}, 0.08, 0.02},
+		{scenario{zones: 3, gateways: 13, endpoints: 15, load: 0.7, firstZoneFactor: 1, weightsShare: 1}, 0.02, 0.001},
+		{scenario{zones: 3, gateways: 13, endpoints: 15, load: 0.85, firstZoneFactor: 1, weightsShare: 1}, 0.08, 0.001},
+		{scenario{zones: 5, gateways: 19, endpoints: 24, load: 0.7, firstZoneFactor: 1, weightsShare: 1}, 0.02, 0.001},
+		{scenario{zones: 5, gateways: 19, endpoints: 24, load: 0.85, firstZoneFactor: 1, weightsShare: 1}, 0.08, 0.001},
+		{scenario{zones: 5, gateways: 19, endpoints: 24, load: 0.7, firstZoneFactor: 1.5, weightsShare: 1}, 0.04, 0.001},
+		{scenario{zones: 5, gateways: 19, endpoints: 24, load: 0.7, firstZoneFactor: 1, weightsShare: 0.2}, 0.06, 0.001},
+		{scenario{zones: 5, gateways: 19, endpoints: 24, load: 0.7, firstZoneFactor: 1, weightsShare: 0.5}, 0.06, 0.001},
+		{scenario{zones: 5, gateways: 30, endpoints: 24, load: 0.7, firstZoneFactor: 1, weightsShare: 1}, 0.03, 0.001},
+		{scenario{zones: 5, gateways: 30, endpoints: 24, load: 0.85, firstZoneFactor: 1, weightsShare: 1}, 0.10, 0.001},
 	} {
-		t.Run(fmt.Sprintf("%+v", x.shape), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%+v", x.scenario), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			f := play(x.shape, 1)
-			late, refused := float64(f.late)/float64(f.asked), float64(f.refused)/float64(f.asked)
-			t.Logf("%+v: of %d requests %.4f late, %.4f refused", x.shape, f.asked, late, refused)
+			f := simulate(x.scenario, 1)
+			late, refused := float64(f.late)/float64(f.requests), float64(f.refused)/float64(f.requests)
+			t.Logf("%+v: of %d requests %.4f late, %.4f refused", x.scenario, f.requests, late, refused)
 			g.Expect(late).To(BeNumerically("<=", x.late))
 			g.Expect(refused).To(BeNumerically("<=", x.refused))
 		})
 	}
 }
 
-// In a steady overload of 1.3 times what the endpoints finish, half of all streams were served
-// in time and a third late; one request of twenty was turned away by an endpoint. What a
-// gateway's own endpoints had no room for went to those of others, which looked free by loads
-// 0.1 to 0.3 s old, and took the places there from callers who then were late. Three of four
-// can be served in time.
+// Guards against gateways that overload each other's endpoints. At a steady 1.3 times
+// capacity, half of the streams were served in time, a third were late, and endpoints
+// rejected one in twenty. Gateways sent their excess to endpoints preferred by other
+// gateways, which looked free according to loads 0.1 to 0.3 s old, and took slots from
+// requests that were then late. Three quarters of the requests can be served in time.
 func TestInOverloadTheFleetServesInTimeWhatItCan(t *testing.T) {
-	for _, s := range []shape{
-		{zones: 3, gateways: 13, endpoints: 15, load: 1.3, first: 1, holding: 1},
-		{zones: 3, gateways: 13, endpoints: 15, load: 1.3, first: 1.3, holding: 1},
-		{zones: 5, gateways: 19, endpoints: 24, load: 1.3, first: 1, holding: 1},
+	for _, s := range []scenario{
+		{zones: 3, gateways: 13, endpoints: 15, load: 1.3, firstZoneFactor: 1, weightsShare: 1},
+		{zones: 3, gateways: 13, endpoints: 15, load: 1.3, firstZoneFactor: 1.3, weightsShare: 1},
+		{zones: 5, gateways: 19, endpoints: 24, load: 1.3, firstZoneFactor: 1, weightsShare: 1},
 	} {
 		t.Run(fmt.Sprintf("%+v", s), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			f := play(s, 1)
-			asked := float64(f.asked)
-			inTime := (asked - float64(f.late+f.refused+f.turnedAway)) / asked
-			t.Logf("of %d requests %.4f in time, %.4f late, %.4f refused, %.4f turned away", f.asked, inTime, float64(f.late)/asked, float64(f.refused)/asked, float64(f.turnedAway)/asked)
+			f := simulate(s, 1)
+			total := float64(f.requests)
+			inTime := (total - float64(f.late+f.refused+f.rejected)) / total
+			t.Logf("of %d requests %.4f in time, %.4f late, %.4f refused, %.4f rejected", f.requests, inTime, float64(f.late)/total, float64(f.refused)/total, float64(f.rejected)/total)
 			g.Expect(inTime).To(BeNumerically(">=", 0.75))
-			g.Expect(float64(f.turnedAway) / asked).To(BeNumerically("<=", 0.02))
+			g.Expect(float64(f.rejected) / total).To(BeNumerically("<=", 0.02))
 		})
 	}
 }
--- a/gateway/balance/health.go
+++ b/gateway/balance/health.go
@@ -2,127 +2,130 @@
 
 import "time"
 
-// Outcome is what became of a request at an endpoint.
+// Outcome is the result of a request at an endpoint.
 type Outcome int
 
-// The outcomes of a request.
+// Request outcomes.
 const (
-	// Served means that the endpoint answered as it should.
+	// Served means that the endpoint sent a complete, valid response.
 	Served Outcome = iota
-	// Refused means that the endpoint said that it did not run the request.
+	// Refused means that the endpoint reported that it did not run the request.
 	Refused
-	// Failed means an error answer, a broken answer or a lost one.
+	// Failed means that the response was an error, malformed, or lost.
 	Failed
-	// Unresponsive means that nothing came from the endpoint on any connection.
+	// Unresponsive means that nothing was received from the endpoint on any connection.
 	Unresponsive
-	// Unreachable means that no connection could be had.
+	// Unreachable means that no connection could be established.
 	Unreachable
-	// Misdirected means that the address belongs to another endpoint now.
+	// Misdirected means that the address now belongs to another endpoint.
 	Misdirected
-	// Neutral says nothing of the endpoint, as when the caller left.
+	// Neutral means that the outcome says nothing about the endpoint, for example because
+	// the client disconnected.
 	Neutral
 )
 
-// Ejection of endpoints.
+// Ejection of failing endpoints.
 const (
-	// failureWeight is the weight of the newest outcome in the failure rate: about the last
-	// eight count.
+	// failureWeight is the weight of the newest outcome in the moving average of the
+	// failure rate, which reflects about the last eight outcomes.
 	failureWeight = 0.12
-	// refusalDivisor makes a refusal count for less than a failure: a busy endpoint is not
-	// a broken one.
+	// refusalDivisor reduces the weight of a refusal compared to a failure: a busy endpoint
+	// is not a broken one.
 	refusalDivisor = 3
 	// failureLimit is the failure rate at which an endpoint is ejected: five failures in a
 	// row, or about half of the outcomes.
 	failureLimit = 0.45
-	// recoveredLimit is the failure rate below which an ejected endpoint counts as
-	// well again, and the highest after a trial that was served.
+	// recoveredLimit is the failure rate below which an ejected endpoint counts as healthy
+	// again. After a successful probe the failure rate is lowered to this value if it is
+	// higher.
 	recoveredLimit = failureLimit / 2
-	// minEjection is for how long an endpoint is ejected at first; it doubles with each
-	// ejection in a row, maxDoublings times, up to maxEjection.
+	// minEjection is the duration of the first ejection. It doubles with each consecutive
+	// ejection, up to maxDoublings times and at most to maxEjection.
 	minEjection = 500 * time.Millisecond
 	// maxEjection is the longest ejection.
 	maxEjection = 4 * time.Second
-	// maxDoublings is after how many the time stays.
+	// maxDoublings is the number of ejections after which the duration no longer grows.
 	maxDoublings = 3
-	// unresponsiveLimit is how many unresponsive requests in a row, with no other in
-	// progress, eject an endpoint: one alone may just have lost its answer. Suspicion after
-	// a single one was worse.
+	// unresponsiveLimit is the number of consecutive unresponsive requests, with no other
+	// request in flight, after which an endpoint is ejected. After a single one, only its
+	// response may have been lost; suspecting endpoints after one unresponsive request gave
+	// worse results.
 	unresponsiveLimit = 2
-	// refusalPause is for how long an endpoint that refused gets no requests: it may end a
-	// request meanwhile.
-	refusalPause = 60 * time.Millisecond
+	// refusalBackoff is how long an endpoint receives no requests after a refusal; one of
+	// its requests may finish in that time.
+	refusalBackoff = 60 * time.Millisecond
 )
 
-// health is what the outcomes of requests tell of an endpoint.
+// health is the health of an endpoint according to the outcomes of its requests.
 type health struct {
-	// reassigned is set when the address belongs to another endpoint.
+	// reassigned is set if the address now belongs to another endpoint.
 	reassigned bool
-	// failures is the failure rate, newer outcomes weighing more.
-	failures float64
-	// ejectedUntil is when the endpoint may be tried again.
+	// failureRate is the exponential moving average of failures.
+	failureRate float64
+	// ejectedUntil is when the endpoint may be used again.
 	ejectedUntil time.Time
-	// pausedUntil is until when the endpoint asked to get no requests.
+	// pausedUntil is the time until which the endpoint asked to receive no requests.
 	pausedUntil time.Time
-	// ejections counts those in a row.
+	// ejections counts consecutive ejections.
 	ejections int
-	// trial is set while a single request tests an endpoint after an ejection.
-	trial bool
-	// unresponsive counts such requests in a row.
-	unresponsive int
-	// suspect is set when several requests were unresponsive together.
+	// probing is set while a single request probes an endpoint after an ejection.
+	probing bool
+	// consecutiveUnresponsive counts consecutive unresponsive requests.
+	consecutiveUnresponsive int
+	// suspect is set if several concurrent requests were unresponsive.
 	suspect bool
 }
 
-// usable returns whether requests may be sent.
+// usable reports whether requests may be sent.
 func (h *health) usable(now time.Time) bool {
 	if now.Before(h.ejectedUntil) || h.paused(now) {
 		return false
 	}
-	return !h.trial
+	return !h.probing
 }
 
-// paused returns whether the endpoint asked to get no requests now, since it is about to load
-// weights.
+// paused reports whether the endpoint currently asks for no requests because it is about to
+// load weights.
 func (h *health) paused(now time.Time) bool {
 	return now.Before(h.pausedUntil)
 }
 
-// beginTrial notes that a request is sent; the first after an ejection is a trial.
-func (h *health) beginTrial(now time.Time) {
+// beginProbe records that a request is sent. The first one after an ejection is a probe.
+func (h *health) beginProbe(now time.Time) {
 	if h.ejections > 0 && !now.Before(h.ejectedUntil) {
-		h.trial = true
+		h.probing = true
 	}
 }
 
-// Change is how an outcome changed what is believed of an endpoint.
+// Change is the effect of an outcome on the state of an endpoint.
 type Change int
 
-// The changes.
+// Health changes.
 const (
 	// Unchanged means that the endpoint is used as before.
 	Unchanged Change = iota
-	// Ejected means that the endpoint gets no requests for a while.
+	// Ejected means that the endpoint receives no requests for some time.
 	Ejected
 	// Restored means that the endpoint is used again.
 	Restored
-	// Reassigned means that the address belongs to another endpoint.
+	// Reassigned means that the address now belongs to another endpoint.
 	Reassigned
 )
 
-// changeNames are the names in log lines.
+// changeNames are the names used in log lines.
 var changeNames = map[Change]string{Unchanged: "unchanged", Ejected: "ejected", Restored: "restored", Reassigned: "gone"}
 
-// String returns the change's name.
+// String returns the name used in log lines.
 func (c Change) String() string {
 	return changeNames[c]
 }
 
-// note takes in the outcome of a request, while so many others of this gateway are
-// in progress at the endpoint. An endpoint that is unresponsive to several requests
-// at once is suspected, and ejected at once.
-func (h *health) note(o Outcome, others int, now time.Time) Change {
+// record applies the outcome of a request. others is the number of this gateway's other
+// requests in flight at the endpoint. An endpoint that is unresponsive while several
+// requests are in flight is suspected and ejected at once.
+func (h *health) record(o Outcome, others int, now time.Time) Change {
 	before := h.ejections
-	h.take(o, now)
+	h.apply(o, now)
 	if o == Unresponsive && others > 0 {
 		h.suspect = true
 		h.eject(now)
@@ -138,72 +141,72 @@
 	return Unchanged
 }
 
-// take changes the failure rate and ejects the endpoint where one outcome tells
-// enough.
-func (h *health) take(o Outcome, now time.Time) {
-	wasTrial := h.trial
-	h.trial = false
+// apply updates the failure rate, and ejects the endpoint if this single outcome is
+// sufficient.
+func (h *health) apply(o Outcome, now time.Time) {
+	wasProbe := h.probing
+	h.probing = false
 	switch o {
 	case Served:
-		h.succeed(wasTrial)
+		h.recordSuccess(wasProbe)
 	case Refused:
-		h.failures += failureWeight / refusalDivisor * (1 - h.failures)
-		h.pause(refusalPause, now)
+		h.failureRate += failureWeight / refusalDivisor * (1 - h.failureRate)
+		h.extendEjection(refusalBackoff, now)
 	case Failed:
-		h.fail(wasTrial || h.failureRateAfter() > failureLimit, now)
+		h.recordFailure(wasProbe || h.failureRateAfterFailure() > failureLimit, now)
 	case Unresponsive:
-		h.unresponsive++
-		h.fail(wasTrial || h.unresponsive >= unresponsiveLimit, now)
+		h.consecutiveUnresponsive++
+		h.recordFailure(wasProbe || h.consecutiveUnresponsive >= unresponsiveLimit, now)
 	case Unreachable:
-		h.fail(true, now)
+		h.recordFailure(true, now)
 	case Misdirected:
 		h.reassigned = true
 	case Neutral:
 	}
 }
 
-// succeed notes an answer as it should be.
-func (h *health) succeed(wasTrial bool) {
-	h.unresponsive, h.suspect = 0, false
-	h.failures *= 1 - failureWeight
-	if wasTrial || h.failures < recoveredLimit {
+// recordSuccess applies a successful outcome.
+func (h *health) recordSuccess(wasProbe bool) {
+	h.consecutiveUnresponsive, h.suspect = 0, false
+	h.failureRate *= 1 - failureWeight
+	if wasProbe || h.failureRate < recoveredLimit {
 		h.ejections = 0
 	}
-	if wasTrial {
-		h.failures = min(h.failures, recoveredLimit)
+	if wasProbe {
+		h.failureRate = min(h.failureRate, recoveredLimit)
 	}
 }
 
-// failureRateAfter returns what the failure rate is after one more failure.
-func (h *health) failureRateAfter() float64 {
-	return h.failures + failureWeight*(1-h.failures)
+// failureRateAfterFailure returns the failure rate that one more failure would give.
+func (h *health) failureRateAfterFailure() float64 {
+	return h.failureRate + failureWeight*(1-h.failureRate)
 }
 
-// fail notes a failure, and ejects the endpoint if that is decided.
-func (h *health) fail(eject bool, now time.Time) {
-	h.failures = h.failureRateAfter()
+// recordFailure applies a failed outcome, and ejects the endpoint if eject is set.
+func (h *health) recordFailure(eject bool, now time.Time) {
+	h.failureRate = h.failureRateAfterFailure()
 	if eject {
 		h.eject(now)
 	}
 }
 
-// eject keeps requests away for a time that doubles with each ejection in a row.
+// eject ejects the endpoint for a duration that doubles with each consecutive ejection.
 func (h *health) eject(now time.Time) {
 	if now.Before(h.ejectedUntil) {
 		return
 	}
-	h.pause(EjectionTime(h.ejections), now)
+	h.extendEjection(EjectionTime(h.ejections), now)
 	h.ejections++
 }
 
-// EjectionTime returns for how long an endpoint is ejected after so many ejections
-// in a row.
+// EjectionTime returns the duration of an ejection that follows the given number of
+// consecutive ejections.
 func EjectionTime(before int) time.Duration {
 	return min(minEjection<<min(before, maxDoublings), maxEjection)
 }
 
-// pause keeps requests away for d, unless they are kept away for longer.
-func (h *health) pause(d time.Duration, now time.Time) {
+// extendEjection keeps requests away for at least d from now.
+func (h *health) extendEjection(d time.Duration, now time.Time) {
 	if t := now.Add(d); t.After(h.ejectedUntil) {
 		h.ejectedUntil = t
 	}
--- a/gateway/balance/idle.go
+++ b/gateway/balance/idle.go
@@ -3,85 +3,91 @@
 import "time"
 
 const (
-	// ownIdleLimit is for how long nothing at all may come from other processes before that
-	// is put down to this gateway or its link: one heartbeat, sent every 0.2 s, may be late.
-	ownIdleLimit = 300 * time.Millisecond
-	// minJudged is how many endpoints must have requests of this gateway for their idleness
-	// to tell of the others.
-	minJudged = 3
-	// maxIdleShare is the part of these above which all are taken to stand still together.
-	maxIdleShare = 0.5
+	// localIdleThreshold is how long nothing may be received from any process before the
+	// cause is assumed to be this gateway or its network link. Heartbeats are sent every
+	// 0.2 s, so one may be late.
+	localIdleThreshold = 300 * time.Millisecond
+	// minBusyEndpoints is the number of endpoints that must have requests of this gateway
+	// before their idleness is used to judge the service as a whole.
+	minBusyEndpoints = 3
+	// maxIdleFraction is the fraction of these endpoints above which the whole service is
+	// assumed to be stalled.
+	maxIdleFraction = 0.5
 )
 
-// AllStandStill returns whether the endpoints of a service are taken to stand still
-// together, where so many of those that have requests of this gateway are idle.
-func AllStandStill(idle, busy int) bool {
-	return busy >= minJudged && float64(idle) > maxIdleShare*float64(busy)
+// ServiceStalled reports whether all endpoints of a service are assumed to be stalled,
+// given that idle of the busy endpoints, those with requests of this gateway, are idle.
+func ServiceStalled(idle, busy int) bool {
+	return busy >= minBusyEndpoints && float64(idle) > maxIdleFraction*float64(busy)
 }
 
-// TakesUnknown returns whether a request is tried at an endpoint of which nothing is known,
-// where so many others are silent and so many answer: not while all stand still, and one
-// after the other where none answers. tried is set while one is being tried.
-func TakesUnknown(silent, answering int, tried bool) bool {
-	if AllStandStill(silent, silent+answering) {
+// MayTryUnknown reports whether a request may be sent to an endpoint whose responsiveness
+// is unknown, given the number of silent and of responding endpoints. It may not while the
+// service is stalled. If no endpoint responds, unknown endpoints are tried one at a time;
+// tried is set while one is being tried.
+func MayTryUnknown(silent, responding int, tried bool) bool {
+	if ServiceStalled(silent, silent+responding) {
 		return false
 	}
-	return silent == 0 || answering > 0 || !tried
+	return silent == 0 || responding > 0 || !tried
 }
 
-// idle returns for how long nothing came from e, at most since.
+// idle returns how long nothing has been received from e, counted from since at the
+// earliest.
 func (b *Balancer) idle(e *endpoint, since, now time.Time) time.Duration {
-	if last := e.lastByte.last(); last.After(since) {
+	if last := e.lastByte.load(); last.After(since) {
 		since = last
 	}
 	until := now
-	if last := b.lastTraffic.last(); now.Sub(last) > ownIdleLimit {
+	if last := b.lastTraffic.load(); now.Sub(last) > localIdleThreshold {
 		until = last
 	}
 	return max(until.Sub(since), 0)
 }
 
-// pulse is what the streams of this gateway at an endpoint show of it.
-type pulse int
+// activity is the responsiveness of an endpoint according to this gateway's requests.
+type activity int
 
-// The pulses.
+// Activity states.
 const (
-	// unknown means that it has no requests of this gateway, or that they began a moment ago.
-	unknown pulse = iota
-	// answering means that it sent something a moment ago.
-	answering
-	// silent means that it sent nothing for longer than it may.
-	silent
+	// activityUnknown means that the endpoint has no requests of this gateway, or that they
+	// began only recently.
+	activityUnknown activity = iota
+	// activityResponding means that the endpoint sent something recently.
+	activityResponding
+	// activitySilent means that the endpoint has sent nothing for longer than the allowed
+	// time.
+	activitySilent
 )
 
-// pulse returns the pulse of e, which may be idle for maxIdle.
-func (b *Balancer) pulse(e *endpoint, maxIdle time.Duration, now time.Time) pulse {
+// activity returns the activity of e, which may be idle for maxIdle.
+func (b *Balancer) activity(e *endpoint, maxIdle time.Duration, now time.Time) activity {
 	switch {
 	case e.inFlight == 0:
-		return unknown
+		return activityUnknown
 	case b.idle(e, e.busySince, now) > maxIdle:
-		return silent
-	case e.lastByte.last().After(e.busySince):
-		return answering
+		return activitySilent
+	case e.lastByte.load().After(e.busySince):
+		return activityResponding
 	}
-	return unknown
+	return activityUnknown
 }
 
-// answers returns which endpoints answer, as Query.MaxIdle asks. The caller holds the
-// shard's lock.
-func (b *Balancer) answers(s *shard, maxIdle time.Duration, now time.Time) func(*endpoint) bool {
+// respondingFilter returns a function that reports whether an endpoint satisfies
+// Query.MaxIdle. The shard's lock must be held.
+func (b *Balancer) respondingFilter(s *shard, maxIdle time.Duration, now time.Time) func(*endpoint) bool {
 	if maxIdle == 0 {
 		return func(*endpoint) bool { return true }
 	}
-	count, tried := map[pulse]int{}, false
+	count, tried := map[activity]int{}, false
 	for _, e := range s.ordered {
-		p := b.pulse(e, maxIdle, now)
-		count[p]++
-		tried = tried || p == unknown && e.inFlight > 0
+		state := b.activity(e, maxIdle, now)
+		count[state]++
+		tried = tried || state == activityUnknown && e.inFlight > 0
 	}
-	takesUnknown := TakesUnknown(count[silent], count[answering], tried)
+	mayTryUnknown := MayTryUnknown(count[activitySilent], count[activityResponding], tried)
 	return func(e *endpoint) bool {
-		p := b.pulse(e, maxIdle, now)
-		return p == answering || p == unknown && takesUnknown
+		state := b.activity(e, maxIdle, now)
+		return state == activityResponding || state == activityUnknown && mayTryUnknown
 	}
 }
--- a/gateway/balance/idle_test.go
+++ b/gateway/balance/idle_test.go
@@ -10,26 +10,27 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-var _ = DescribeTable("endpoints are taken to stand still together",
+var _ = DescribeTable("a service counts as stalled",
 	func(idle, busy int, want bool) {
-		Expect(balance.AllStandStill(idle, busy)).To(Equal(want))
+		Expect(balance.ServiceStalled(idle, busy)).To(Equal(want))
 	},
-	Entry("not where nothing is known", 0, 0, false),
-	Entry("not by two of two, which may have failed", 2, 2, false),
-	Entry("by two of three", 2, 3, true),
-	Entry("not by half", 2, 4, false),
-	Entry("by more than half", 3, 4, true),
+	Entry("not if no endpoint is busy", 0, 0, false),
+	Entry("not with two of two idle, which may have failed", 2, 2, false),
+	Entry("with two of three idle", 2, 3, true),
+	Entry("not with half idle", 2, 4, false),
+	Entry("with more than half idle", 3, 4, true),
 )
 
-// Guards against hedges that wait at an endpoint as silent as the one that is doubted.
-var _ = Describe("A request that wants an endpoint which answers", func() {
+// Guards against hedges that wait at an endpoint as silent as the one they are a hedge
+// against.
+var _ = Describe("A request with MaxIdle", func() {
 	const maxIdle = 600 * time.Millisecond
 	var b *balance.Balancer
 	var began, now time.Time
 
-	// at returns a request in progress at an endpoint since the beginning.
+	// at returns a request in progress at an endpoint since began.
 	at := func(id string) *balance.Lease {
-		l, err := b.Pick(&balance.Query{Service: "s", Among: []string{id}}, began)
+		l, err := b.Pick(&balance.Query{Service: "s", Include: []string{id}}, began)
 		Expect(err).NotTo(HaveOccurred())
 		return l
 	}
@@ -54,19 +55,19 @@
 		b.NoteTraffic(now)
 	})
 
-	It("gets none that is idle itself", func() {
+	It("gets no idle endpoint", func() {
 		at("e0")
 		at("e1")
 		Expect(pick("e0", "e2", "e3")).Error().To(HaveOccurred())
 	})
 
-	It("gets one that sends to others", func() {
+	It("gets an endpoint that responds to other requests", func() {
 		at("e0")
 		at("e1").Received(now)
 		Expect(pick("e0", "e2", "e3")).To(Equal("e1"))
 	})
 
-	It("gets one of which nothing is known, unless most are idle", func() {
+	It("gets an endpoint of unknown responsiveness, unless most are idle", func() {
 		at("e0")
 		at("e1")
 		Expect(pick("e0")).To(BeElementOf("e2", "e3"))
@@ -74,7 +75,7 @@
 		Expect(pick("e0")).Error().To(HaveOccurred())
 	})
 
-	It("gets one whose requests began a moment ago, where another answers", func() {
+	It("gets an endpoint whose requests just began, if another responds", func() {
 		at("e0")
 		at("e2").Received(now)
 		began = now.Add(-maxIdle)
@@ -82,7 +83,7 @@
 		Expect(pick("e0", "e2", "e3")).To(Equal("e1"))
 	})
 
-	It("tries one after the other where none answers", func() {
+	It("tries endpoints one at a time if none responds", func() {
 		at("e0")
 		began = now.Add(-maxIdle)
 		probe := at("e1")
@@ -91,7 +92,7 @@
 		Expect(pick("e0")).NotTo(BeEmpty())
 	})
 
-	It("gets any where nothing came from anybody meanwhile", func() {
+	It("gets any endpoint if nothing was received from any process", func() {
 		now = now.Add(10 * time.Second)
 		b.NoteTraffic(began)
 		at("e0")
--- a/gateway/balance/lease.go
+++ b/gateway/balance/lease.go
@@ -6,34 +6,35 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// Lease is a request's place at an endpoint, from Pick until Done.
+// Lease is a request counted at an endpoint, from Pick until Done.
 type Lease struct {
-	// Record is the endpoint as it stood when it was chosen.
+	// Record is the endpoint's record at the time of selection.
 	Record *roster.Endpoint
 
 	balancer *Balancer
 	shard    *shard
 	endpoint *endpoint
-	// prefill is the time that the endpoint has yet to read for the request.
+	// prefill is the pending prefill time of the request.
 	prefill time.Duration
 }
 
-// Holds returns the version of model that the endpoint is known to hold now.
+// Holds returns the version of model that the endpoint is currently known to hold, or 0.
 func (l *Lease) Holds(model string) int64 {
 	l.shard.mu.Lock()
 	defer l.shard.mu.Unlock()
 	return l.endpoint.holds(model)
 }
 
-// Leaving returns whether the endpoint is known to leave or to be gone: some leave without
-// saying so, their record goes, and they serve on for a while.
+// Leaving reports whether the endpoint is known to be leaving or removed. Some endpoints
+// leave without announcing it: their record is removed while they continue to serve for
+// some time.
 func (l *Lease) Leaving() bool {
 	l.shard.mu.Lock()
 	defer l.shard.mu.Unlock()
-	return l.endpoint.leaving() || !l.shard.has(l.endpoint)
+	return l.endpoint.leaving() || !l.shard.isCurrent(l.endpoint)
 }
 
-// Paused returns whether the endpoint asked to get no requests now, since it is about to
+// Paused reports whether the endpoint currently asks for no requests because it is about to
 // load weights.
 func (l *Lease) Paused(now time.Time) bool {
 	l.shard.mu.Lock()
@@ -41,14 +42,14 @@
 	return l.endpoint.health.paused(now)
 }
 
-// Others returns how many requests besides this one the gateway has at the endpoint.
-func (l *Lease) Others() int {
+// OtherInFlight returns the number of this gateway's other requests at the endpoint.
+func (l *Lease) OtherInFlight() int {
 	l.shard.mu.Lock()
 	defer l.shard.mu.Unlock()
 	return l.endpoint.inFlight - 1
 }
 
-// PrefillDone notes that the endpoint has read the prompt.
+// PrefillDone records that the endpoint has processed the prompt.
 func (l *Lease) PrefillDone() {
 	l.shard.mu.Lock()
 	defer l.shard.mu.Unlock()
@@ -60,39 +61,39 @@
 	l.prefill = 0
 }
 
-// Received notes that bytes of an answer came from the endpoint.
+// Received records that response bytes were received from the endpoint.
 func (l *Lease) Received(now time.Time) {
-	l.endpoint.lastByte.note(now)
+	l.endpoint.lastByte.store(now)
 	l.balancer.NoteTraffic(now)
 }
 
-// Idle returns for how long nothing came from the endpoint, for this or any other
-// request of this gateway, at most since. The time in which nothing came from
-// anybody does not count.
+// Idle returns how long nothing has been received from the endpoint, on this or any other
+// request of this gateway, counted from since at the earliest. Time in which nothing was
+// received from any process does not count.
 func (l *Lease) Idle(since, now time.Time) time.Duration {
 	return l.balancer.idle(l.endpoint, since, now)
 }
 
-// Done gives the place back and notes the outcome.
+// Done releases the lease and records the outcome of the request.
 func (l *Lease) Done(o Outcome, now time.Time) {
 	l.shard.mu.Lock()
 	defer l.shard.mu.Unlock()
 	l.endpoint.inFlight--
 	l.releasePrefill()
 	h := &l.endpoint.health
-	change := h.note(o, l.endpoint.inFlight, now)
-	if change != Unchanged && l.shard.has(l.endpoint) {
-		l.balancer.cfg.Observe(Belief{Endpoint: l.Record.ID, Change: change, Failures: h.failures, Until: h.ejectedUntil})
+	change := h.record(o, l.endpoint.inFlight, now)
+	if change != Unchanged && l.shard.isCurrent(l.endpoint) {
+		l.balancer.cfg.OnHealthChange(HealthEvent{Endpoint: l.Record.ID, Change: change, FailureRate: h.failureRate, EjectedUntil: h.ejectedUntil})
 	}
 }
 
-// Belief is a change of what is believed of an endpoint.
-type Belief struct {
-	// Endpoint is its ID.
+// HealthEvent is a health change of an endpoint.
+type HealthEvent struct {
+	// Endpoint is the endpoint's ID.
 	Endpoint string
 	Change   Change
-	// Failures is the failure rate that decided it, from 0 to 1.
-	Failures float64
-	// Until is when an endpoint that is ejected is tried again.
-	Until time.Time
+	// FailureRate is the endpoint's failure rate after the change, from 0 to 1.
+	FailureRate float64
+	// EjectedUntil is when an ejected endpoint is probed.
+	EjectedUntil time.Time
 }
--- a/gateway/balance/limit.go
+++ b/gateway/balance/limit.go
@@ -6,132 +6,136 @@
 	"github.com/silverdeck/silverdeck/gateway/advisory"
 )
 
-// Limits that endpoints name.
+// Rate limits declared by endpoints.
 const (
-	// probeRate is the least rate, in requests a second, at which an endpoint with a limit is
-	// sent requests: its answers alone tell when the limit has ended.
-	probeRate = 0.2
-	// keepLimit is for how long a gateway keeps to a limit of which it hears nothing more:
-	// several times as long as it takes another gateway to hold the endpoint of one that died.
-	keepLimit = 5 * time.Second
+	// minProbeRate is the lowest rate, in requests per second, at which requests are sent
+	// to a rate-limited endpoint: only its responses show when the limit has ended.
+	minProbeRate = 0.2
+	// limitTTL is how long a gateway honors a limit without further confirmation. It is
+	// several times as long as another gateway needs to take over an endpoint from a holder
+	// that died.
+	limitTTL = 5 * time.Second
 )
 
-// LimitInterval returns the time between two requests to an endpoint that names a limit of so
-// many a second.
+// LimitInterval returns the time between two requests to an endpoint that is limited to
+// perSecond requests per second.
 func LimitInterval(perSecond float64) time.Duration {
-	return time.Duration(float64(time.Second) / max(perSecond, probeRate))
+	return time.Duration(float64(time.Second) / max(perSecond, minProbeRate))
 }
 
-// limit is what is known of the rate of requests that an endpoint takes of all gateways
-// together. One gateway holds the endpoint and sends at that rate, one request at a time; the
-// others send none. So the sum does not depend on how many gateways there are, nor on how
-// late they hear of each other's requests.
-type limit struct {
-	// named is set while the endpoint names one, rate is that in requests a second.
-	named bool
-	rate  float64
+// rateLimit is the known limit on the rate of requests that an endpoint accepts from all
+// gateways together. One gateway, the holder, sends requests at that rate, one at a time;
+// the others send none. The total rate therefore depends neither on the number of gateways
+// nor on how late they learn of each other's requests.
+type rateLimit struct {
+	// declared is set while the endpoint declares a limit; rate is that limit in requests
+	// per second.
+	declared bool
+	rate     float64
 	// heardAt and confirmedAt are as in advisory.Record.
 	heardAt, confirmedAt time.Time
-	// opensAt is when the gateway that holds the endpoint may send the next request.
-	opensAt time.Time
-	// wantedAt is when the holder last had no room for a request of its own; lent is set where
-	// the last one went to another gateway.
-	wantedAt time.Time
-	lent     bool
-	// askers are the gateways that asked the holder for a token of late, by name.
-	askers map[string]*asker
-	// tokenFrom and tokenUntil are from when and until when another gateway may send one
-	// request that the holder gave it, askAt is when it may ask for the next.
-	tokenFrom, tokenUntil, askAt time.Time
+	// nextSendAt is when the holder may send the next request.
+	nextSendAt time.Time
+	// holderBlockedAt is when the holder last could not send a request of its own.
+	// lastGranted is set if the last request was granted to another gateway.
+	holderBlockedAt time.Time
+	lastGranted     bool
+	// requesters are the gateways that recently requested a token from the holder, by name.
+	requesters map[string]*tokenRequester
+	// tokenFrom and tokenUntil are the period in which this gateway, if it is not the
+	// holder, may send the one request that the holder granted it. nextTokenRequestAt is
+	// when it may request the next token.
+	tokenFrom, tokenUntil, nextTokenRequestAt time.Time
 }
 
-// stands returns whether the limit is kept to, by a gateway that holds the endpoint or not.
-func (l *limit) stands(held bool, now time.Time) bool {
-	return l.named && (held || now.Before(later(l.heardAt, l.confirmedAt).Add(keepLimit)))
+// active reports whether the limit applies. held is set if this gateway is the holder.
+func (l *rateLimit) active(held bool, now time.Time) bool {
+	return l.declared && (held || now.Before(later(l.heardAt, l.confirmedAt).Add(limitTTL)))
 }
 
-// take notes that a request is sent.
-func (l *limit) take(now time.Time) {
-	if l.named {
-		l.opensAt, l.tokenUntil = now.Add(LimitInterval(l.rate)), time.Time{}
-		l.lent = false
+// noteSent records that a request is sent.
+func (l *rateLimit) noteSent(now time.Time) {
+	if l.declared {
+		l.nextSendAt, l.tokenUntil = now.Add(LimitInterval(l.rate)), time.Time{}
+		l.lastGranted = false
 	}
 }
 
-// hold makes the gateway begin to hold the endpoint: the one that held it before may have sent
-// a request just now.
-func (l *limit) hold(now time.Time) {
-	l.opensAt = now.Add(LimitInterval(l.rate))
+// startHolding makes this gateway the holder. The first interval starts now because the
+// previous holder may just have sent a request.
+func (l *rateLimit) startHolding(now time.Time) {
+	l.nextSendAt = now.Add(LimitInterval(l.rate))
 }
 
-// LimitChange is how an answer changed what is known of an endpoint's limit.
+// LimitChange is the effect of a response on the known limit of an endpoint.
 type LimitChange int
 
-// The changes.
+// Limit changes.
 const (
-	// LimitSame means that the endpoint says what it said before.
-	LimitSame LimitChange = iota
-	// LimitNamed means that it names a limit, or another one.
-	LimitNamed
-	// LimitEnded means that it names none any more.
+	// LimitUnchanged means that the endpoint declares what it declared before.
+	LimitUnchanged LimitChange = iota
+	// LimitDeclared means that the endpoint declares a new or different limit.
+	LimitDeclared
+	// LimitEnded means that the endpoint no longer declares a limit.
 	LimitEnded
 )
 
-// limitNames are the names in log lines.
-var limitNames = map[LimitChange]string{LimitSame: "same", LimitNamed: "named", LimitEnded: "ended"}
+// limitNames are the names used in log lines.
+var limitNames = map[LimitChange]string{LimitUnchanged: "same", LimitDeclared: "named", LimitEnded: "ended"}
 
-// String returns the change's name.
+// String returns the name used in log lines.
 func (c LimitChange) String() string {
 	return limitNames[c]
 }
 
-// hear takes in what an answer to a request that was sent at sentAt says. Heads of several
-// connections come out of order: a limit has ended only where the request was sent after it
-// was last named.
-func (l *limit) hear(told advisory.Limit, sentAt, now time.Time) LimitChange {
-	change := LimitSame
-	switch told := told.(type) {
+// observe applies the limit from the response to a request sent at sentAt. Response headers
+// on different connections arrive out of order, so a limit has ended only if the request
+// was sent after the limit was last declared.
+func (l *rateLimit) observe(declared advisory.Limit, sentAt, now time.Time) LimitChange {
+	change := LimitUnchanged
+	switch declared := declared.(type) {
 	case advisory.PerSecond:
-		change = l.set(told, now, now)
+		change = l.set(declared, now, now)
 	case advisory.Unlimited:
-		if l.named && sentAt.After(l.heardAt) {
-			change = l.set(told, now, now)
+		if l.declared && sentAt.After(l.heardAt) {
+			change = l.set(declared, now, now)
 		}
 	case advisory.Unknown:
 	}
 	return change
 }
 
-// set makes told what is known, heard at a time.
-func (l *limit) set(told advisory.Limit, heardAt, now time.Time) LimitChange {
-	rate, named := told.(advisory.PerSecond)
+// set replaces the known limit with one received from the endpoint at heardAt.
+func (l *rateLimit) set(limit advisory.Limit, heardAt, now time.Time) LimitChange {
+	rate, limited := limit.(advisory.PerSecond)
 	before := *l
-	l.named, l.rate, l.heardAt = named, float64(rate), heardAt
+	l.declared, l.rate, l.heardAt = limited, float64(rate), heardAt
 	switch {
-	case before.named == named && before.rate == l.rate:
-		return LimitSame
-	case !named:
+	case before.declared == limited && before.rate == l.rate:
+		return LimitUnchanged
+	case !limited:
 		return LimitEnded
-	case before.named: // the last request was sent as it was
-		l.opensAt = l.opensAt.Add(LimitInterval(l.rate) - LimitInterval(before.rate))
+	case before.declared: // the new interval also counts from the last request
+		l.nextSendAt = l.nextSendAt.Add(LimitInterval(l.rate) - LimitInterval(before.rate))
 	default:
-		l.opensAt = now.Add(LimitInterval(l.rate))
+		l.nextSendAt = now.Add(LimitInterval(l.rate))
 	}
-	return LimitNamed
+	return LimitDeclared
 }
 
-// learn takes in what another gateway tells. What was heard later from the endpoint holds.
-func (l *limit) learn(r *advisory.Record, now time.Time) LimitChange {
+// merge applies a limit reported by another gateway. Of the two, the limit that was
+// received from the endpoint later wins.
+func (l *rateLimit) merge(r *advisory.Record, now time.Time) LimitChange {
 	l.confirmedAt = later(l.confirmedAt, r.ConfirmedAt)
 	if !r.HeardAt.After(l.heardAt) {
-		return LimitSame
+		return LimitUnchanged
 	}
 	return l.set(r.Limit, r.HeardAt, now)
 }
 
-// told returns the limit as other gateways are told it.
-func (l *limit) told() advisory.Limit {
-	if l.named {
+// advertised returns the limit to send to other gateways.
+func (l *rateLimit) advertised() advisory.Limit {
+	if l.declared {
 		return advisory.PerSecond(l.rate)
 	}
 	return advisory.Unlimited{}
--- a/gateway/balance/restart_test.go
+++ b/gateway/balance/restart_test.go
@@ -8,8 +8,9 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// lives returns endpoint e0, in the life that began at born, with a version of model m.
-func lives(born, version int64) *roster.List {
+// oneEndpoint returns endpoint e0, in the incarnation that started at born, with the given
+// version of model m, or without weights if version is 0.
+func oneEndpoint(born, version int64) *roster.List {
 	l := endpoints(1)
 	e := l.Endpoints["e0"]
 	e.Born = born
@@ -20,85 +21,86 @@
 	return l
 }
 
-// Endpoints crash and start again under the ID that they had. What was believed of the one
-// that crashed kept requests away from the one in its place, or sent it what it can't run.
-var _ = Describe("An endpoint that starts again under its ID", func() {
+// Guards against state that outlives an incarnation. Endpoints crash and restart under the
+// same ID; state kept from the crashed incarnation kept requests away from its replacement,
+// or sent it requests that it could not serve.
+var _ = Describe("An endpoint that restarts under the same ID", func() {
 	s := balance.Query{Service: "s"}
 	m := balance.Query{Service: "s", Model: "m"}
 
-	It("is not ejected for what its earlier life did", func() {
-		b := balancer(lives(5, 1))
+	It("is not ejected for failures of its earlier incarnation", func() {
+		b := balancer(oneEndpoint(5, 1))
 		pick(b, s, now).Done(balance.Unreachable, now)
 		Expect(available(b, s, now)).To(BeFalse())
-		b.Update(lives(5, 1))
-		Expect(available(b, s, now)).To(BeFalse(), "the same life")
-		b.Update(lives(6, 1))
+		b.Update(oneEndpoint(5, 1))
+		Expect(available(b, s, now)).To(BeFalse(), "the same incarnation")
+		b.Update(oneEndpoint(6, 1))
 		Expect(available(b, s, now)).To(BeTrue())
 	})
-	It("stays what it was where no time is told", func() {
-		b := balancer(lives(0, 1))
+	It("keeps its state if a record has no start time", func() {
+		b := balancer(oneEndpoint(0, 1))
 		pick(b, s, now).Done(balance.Unreachable, now)
-		b.Update(lives(6, 1))
-		Expect(available(b, s, now)).To(BeFalse(), "told for the first time")
-		b.Update(lives(0, 1))
-		Expect(available(b, s, now)).To(BeFalse(), "a record of an older program")
+		b.Update(oneEndpoint(6, 1))
+		Expect(available(b, s, now)).To(BeFalse(), "start time known for the first time")
+		b.Update(oneEndpoint(0, 1))
+		Expect(available(b, s, now)).To(BeFalse(), "record written by an older version")
 	})
-	It("has none of the requests of its earlier life", func() {
-		b := balancer(lives(5, 1))
+	It("has none of the requests of its earlier incarnation", func() {
+		b := balancer(oneEndpoint(5, 1))
 		old := pick(b, s, now)
 		Expect(b.InFlight()).To(Equal(map[roster.Life]int{{ID: "e0", Born: 5}: 1}))
-		b.Update(lives(6, 1))
+		b.Update(oneEndpoint(6, 1))
 		Expect(b.InFlight()).To(BeEmpty())
 		l := pick(b, s, now)
 		old.Done(balance.Unreachable, now)
 		Expect(b.InFlight()).To(Equal(map[roster.Life]int{{ID: "e0", Born: 6}: 1}))
-		Expect(available(b, s, now)).To(BeTrue(), "the end of a request of the earlier life says nothing")
+		Expect(available(b, s, now)).To(BeTrue(), "a request of the earlier incarnation does not count")
 		l.Done(balance.Served, now)
 		Expect(b.InFlight()).To(BeEmpty())
 	})
-	It("is not said to be ejected for the end of a request of its earlier life", func() {
-		said := 0
-		b := balance.New(balance.Config{Zone: "a", OtherLoad: nobody, Random: noDraw, Observe: func(balance.Belief) { said++ }})
-		b.Update(lives(5, 1))
+	It("is not reported as ejected when a request of its earlier incarnation fails", func() {
+		events := 0
+		b := balance.New(balance.Config{Zone: "a", OtherLoad: noOtherLoad, Random: zeroRandom, OnHealthChange: func(balance.HealthEvent) { events++ }})
+		b.Update(oneEndpoint(5, 1))
 		old := pick(b, s, now)
-		b.Update(lives(6, 1))
+		b.Update(oneEndpoint(6, 1))
 		old.Done(balance.Unreachable, now)
-		Expect(said).To(BeZero())
+		Expect(events).To(BeZero())
 	})
-	It("is not suspected by others for its earlier life", func() {
-		b := suspecting(lives(5, 1), func(l roster.Life) bool { return l == roster.Life{ID: "e0", Born: 5} })
+	It("is not suspected by other gateways for its earlier incarnation", func() {
+		b := balancerWithSuspects(oneEndpoint(5, 1), func(l roster.Life) bool { return l == roster.Life{ID: "e0", Born: 5} })
 		Expect(available(b, s, now)).To(BeFalse())
-		b.Update(lives(6, 1))
+		b.Update(oneEndpoint(6, 1))
 		Expect(available(b, s, now)).To(BeTrue())
 	})
-	It("holds nothing from when the process beside it tells of the start", func() {
-		b := balancer(lives(5, 1))
-		b.Announce(balance.Announcement{Addr: "e0:1", Born: 5, Weights: roster.Weights{Model: "m", Version: 2}})
+	It("holds no weights once its sidecar announces the restart", func() {
+		b := balancer(oneEndpoint(5, 1))
+		b.ApplyAnnouncement(balance.Announcement{Addr: "e0:1", Born: 5, Weights: roster.Weights{Model: "m", Version: 2}})
 		Expect(available(b, m, now)).To(BeTrue())
-		b.Announce(balance.Announcement{Addr: "e0:1", Born: 6})
+		b.ApplyAnnouncement(balance.Announcement{Addr: "e0:1", Born: 6})
 		Expect(available(b, m, now)).To(BeFalse())
-		b.Update(lives(5, 2))
-		Expect(available(b, m, now)).To(BeFalse(), "a record of the earlier life")
-		b.Announce(balance.Announcement{Addr: "e0:1", Born: 6, Weights: roster.Weights{Model: "m", Version: 2}})
+		b.Update(oneEndpoint(5, 2))
+		Expect(available(b, m, now)).To(BeFalse(), "record of the earlier incarnation")
+		b.ApplyAnnouncement(balance.Announcement{Addr: "e0:1", Born: 6, Weights: roster.Weights{Model: "m", Version: 2}})
 		Expect(available(b, m, now)).To(BeTrue())
-		b.Update(lives(6, 0))
-		Expect(available(b, m, now)).To(BeTrue(), "the record follows what was announced")
+		b.Update(oneEndpoint(6, 0))
+		Expect(available(b, m, now)).To(BeTrue(), "the record lags behind the announcement")
 	})
-	It("is not what was announced of an earlier life", func() {
-		b := balancer(lives(6, 0))
-		b.Announce(balance.Announcement{Addr: "e0:1", Born: 5, PausedUntil: at(900), Weights: roster.Weights{Model: "m", Version: 2}})
+	It("ignores announcements for an earlier incarnation", func() {
+		b := balancer(oneEndpoint(6, 0))
+		b.ApplyAnnouncement(balance.Announcement{Addr: "e0:1", Born: 5, PausedUntil: at(900), Weights: roster.Weights{Model: "m", Version: 2}})
 		Expect(available(b, m, now)).To(BeFalse())
-		Expect(available(b, s, now)).To(BeTrue(), "nor paused")
+		Expect(available(b, s, now)).To(BeTrue(), "not paused either")
 	})
-	It("is what an older program beside it announces", func() {
-		b := balancer(lives(6, 0))
-		b.Announce(balance.Announcement{Addr: "e0:1", Weights: roster.Weights{Model: "m", Version: 2}})
+	It("applies announcements of an older sidecar, which sends no start time", func() {
+		b := balancer(oneEndpoint(6, 0))
+		b.ApplyAnnouncement(balance.Announcement{Addr: "e0:1", Weights: roster.Weights{Model: "m", Version: 2}})
 		Expect(available(b, m, now)).To(BeTrue())
 	})
-	It("does not lend its beliefs to another ID at its address", func() {
-		b := balancer(lives(5, 1))
+	It("does not pass its state on to another ID at the same address", func() {
+		b := balancer(oneEndpoint(5, 1))
 		pick(b, s, now).Done(balance.Unreachable, now)
-		l := lives(5, 1)
+		l := oneEndpoint(5, 1)
 		e := l.Endpoints["e0"]
 		delete(l.Endpoints, "e0")
 		e.ID = "e9"
--- a/gateway/balance/sample.go
+++ b/gateway/balance/sample.go
@@ -1,40 +1,42 @@
 package balance
 
-// sampleSize is how many endpoints that others prefer are compared in a choice. What is
-// known of their load is as old as the last heartbeat: if all of them were compared, all
-// gateways would choose the same few at one moment, and the more gateways there are, the
-// more of them. The better of two drawn ones ("power of two choices") is taken seldom by
-// many at once. Late requests at a load of 0.7, with 9, 39 and 95 gateways and 1.3 times as
-// many endpoints, before this and package affinity's three preferred ones, and with both:
-// 1.0, 5.1 and 13.4% against 0.5, 1.2 and 1.0% (TestTheFleetPlaces…, means of 10 and 30).
+// sampleSize is the number of endpoints preferred by other gateways that are compared for a
+// request. The known load of these endpoints is as old as the last heartbeat. If all of
+// them were compared, all gateways would select the same few at the same moment, and more
+// so the more gateways there are. The better of two random endpoints ("power of two
+// choices") is rarely selected by many gateways at once. Late requests at a load of 0.7,
+// with 9, 39, and 95 gateways and 1.3 times as many endpoints: 1.0, 5.1, and 13.4% without
+// sampling and without the three preferred endpoints of package affinity, 0.5, 1.2, and
+// 1.0% with both (TestTheFleetPlaces…, means of 10 and 30 runs).
 const sampleSize = 2
 
-// loaded is an endpoint and its load.
-type loaded struct {
+// endpointLoad is an endpoint and its load.
+type endpointLoad struct {
 	endpoint *endpoint
 	load     float64
 }
 
-// sample keeps sampleSize of the endpoints that are added, each with the same chance.
-type sample struct {
-	// random returns a number from [0, 1).
+// reservoir is a uniform random sample of sampleSize of the added endpoints (reservoir
+// sampling).
+type reservoir struct {
+	// random returns a number in [0, 1).
 	random func() float64
-	kept   [sampleSize]loaded
+	kept   [sampleSize]endpointLoad
 	seen   int
 }
 
-func (s *sample) add(e *endpoint, load float64) {
+func (s *reservoir) add(e *endpoint, load float64) {
 	i := s.seen
 	s.seen++
 	if i >= sampleSize {
 		i = int(s.random() * float64(s.seen))
 	}
 	if i < sampleSize {
-		s.kept[i] = loaded{e, load}
+		s.kept[i] = endpointLoad{e, load}
 	}
 }
 
-// drawn returns the endpoints that were kept.
-func (s *sample) drawn() []loaded {
+// items returns the sampled endpoints.
+func (s *reservoir) items() []endpointLoad {
 	return s.kept[:min(s.seen, sampleSize)]
 }
--- a/gateway/balance/shard.go
+++ b/gateway/balance/shard.go
@@ -13,45 +13,47 @@
 type shard struct {
 	mu        sync.Mutex
 	endpoints map[string]*endpoint
-	// ordered are the endpoints by ID, so that the same draws choose the same one.
+	// ordered holds the endpoints sorted by ID, so that the selection is deterministic for
+	// given random numbers.
 	ordered []*endpoint
-	// departed are endpoints that have no record any more, by ID.
-	departed map[string]*departed
+	// removed holds endpoints that no longer have a record, by ID.
+	removed map[string]*removedEndpoint
 }
 
-// endpoint is what this gateway knows of one endpoint. But for lastByte, its
-// shard's lock guards it.
+// endpoint is this gateway's view of one endpoint. All fields except lastByte are guarded
+// by the shard's lock.
 type endpoint struct {
 	record   *roster.Endpoint
 	inFlight int
-	// busySince is when the first of the requests in progress began.
+	// busySince is when the number of requests in flight last rose from zero.
 	busySince time.Time
 	health    health
-	// prefill is the time that this gateway's requests there have yet to be read.
+	// prefill is the pending prefill time of this gateway's requests.
 	prefill time.Duration
-	// preferred is set when this is the gateway that prefers the endpoint.
+	// preferred is set if this gateway prefers the endpoint.
 	preferred bool
-	// announced are weights that the process beside the endpoint told of; the
-	// record in the store follows later.
+	// announced holds the weights that the endpoint's sidecar announced; the record in the
+	// store follows later.
 	announced roster.Weights
-	// said is what the endpoint said of itself in its answers.
-	said *said
-	// held is set when this is the gateway that sends it requests while it names a limit.
+	// advisory is what the endpoint reported about itself in its responses.
+	advisory *advisoryState
+	// held is set if this gateway is the endpoint's holder, which alone sends it requests
+	// while it has a rate limit.
 	held bool
-	// lastByte is when bytes of an answer last came.
-	lastByte moment
+	// lastByte is when response bytes were last received.
+	lastByte atomicTime
 }
 
-// update replaces the records. What is known of endpoints that stay is kept, but not from
-// one life to the next: ejections, requests in progress and announced weights of an
-// endpoint that crashed say nothing of what started in its place. A record of an earlier
-// life than the one that is known is out of date.
+// update replaces the records. The state of endpoints that remain is kept, but not across
+// incarnations: ejections, requests in flight, and announced weights of an endpoint that
+// crashed do not apply to its replacement. A record of an earlier incarnation than the
+// known one is out of date and ignored.
 func (s *shard) update(records map[string]*roster.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, e := range s.endpoints {
 		if records[id] == nil {
-			s.depart(e)
+			s.keepRemoved(e)
 			delete(s.endpoints, id)
 		}
 	}
@@ -59,7 +61,7 @@
 		e := s.endpoints[id]
 		switch {
 		case e == nil:
-			s.endpoints[id] = s.come(r)
+			s.endpoints[id] = s.newEndpoint(r)
 		case r.Life().Before(e.record.Life()):
 		case r.Life().Same(e.record.Life()):
 			e.record = r
@@ -67,21 +69,21 @@
 			s.restart(e, r)
 		}
 	}
-	s.order()
+	s.sortEndpoints()
 }
 
-// order lists the endpoints by ID. The caller holds the lock.
-func (s *shard) order() {
+// sortEndpoints rebuilds ordered. The lock must be held.
+func (s *shard) sortEndpoints() {
 	s.ordered = s.ordered[:0]
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
 		s.ordered = append(s.ordered, s.endpoints[id])
 	}
 }
 
-// restart puts an endpoint's next life, as r has it, in the place of e. Who has a lease of
-// e gives it back there. The caller holds the lock.
+// restart replaces e by its next incarnation, which has record r. Existing leases of e are
+// still released there. The lock must be held.
 func (s *shard) restart(e *endpoint, r *roster.Endpoint) *endpoint {
-	next := &endpoint{record: r, preferred: e.preferred, held: e.held, said: &said{}}
+	next := &endpoint{record: r, preferred: e.preferred, held: e.held, advisory: &advisoryState{}}
 	s.endpoints[r.ID] = next
 	if i := slices.Index(s.ordered, e); i >= 0 {
 		s.ordered[i] = next
@@ -89,40 +91,41 @@
 	return next
 }
 
-// has returns whether e is the life that is known now. The caller holds the lock.
-func (s *shard) has(e *endpoint) bool {
+// isCurrent reports whether e is the current incarnation. The lock must be held.
+func (s *shard) isCurrent(e *endpoint) bool {
 	return s.endpoints[e.record.ID] == e
 }
 
-// fits returns whether e may take a request of q at all.
-func (e *endpoint) fits(q *Query) bool {
+// eligible reports whether e may receive a request for q at all.
+func (e *endpoint) eligible(q *Query) bool {
 	if e.leaving() || e.health.reassigned {
 		return false
 	}
 	if q.Model != "" && e.holds(q.Model) < max(q.MinVersion, 1) {
 		return false
 	}
-	return e.among(q) && (!slices.Contains(q.Exclude, e.record.ID) || e.reloaded(q))
+	return e.included(q) && (!slices.Contains(q.Exclude, e.record.ID) || e.reloadedSinceAttempt(q))
 }
 
-// reloaded returns whether the endpoint has loaded newer weights since it had a request of q.
-func (e *endpoint) reloaded(q *Query) bool {
-	return q.Model != "" && e.record.ID == q.Reloaded.ID && e.holds(q.Model) > q.Reloaded.From
+// reloadedSinceAttempt reports whether the endpoint has loaded newer weights since it was
+// last tried for q.
+func (e *endpoint) reloadedSinceAttempt(q *Query) bool {
+	return q.Model != "" && e.record.ID == q.Reloaded.ID && e.holds(q.Model) > q.Reloaded.FromVersion
 }
 
-// among returns whether e is one of those that may have a request of q.
-func (e *endpoint) among(q *Query) bool {
-	return len(q.Among) == 0 || slices.Contains(q.Among, e.record.ID)
+// included reports whether q.Include allows e.
+func (e *endpoint) included(q *Query) bool {
+	return len(q.Include) == 0 || slices.Contains(q.Include, e.record.ID)
 }
 
-// changes returns whether the endpoint loads newer weights soon, which matters to a request
-// of q.
-func (e *endpoint) changes(q *Query) bool {
-	return q.Lasting > 0 && e.holds(q.Model) < q.Lasting
+// reloadPending reports whether the endpoint will soon load newer weights, if that matters
+// for q.
+func (e *endpoint) reloadPending(q *Query) bool {
+	return q.LatestVersion > 0 && e.holds(q.Model) < q.LatestVersion
 }
 
-// begin counts a request that is sent now.
-func (e *endpoint) begin(now time.Time) {
+// addRequest counts a request that is sent now.
+func (e *endpoint) addRequest(now time.Time) {
 	if e.inFlight == 0 {
 		e.busySince = now
 	}
--- a/gateway/balance/suspect.go
+++ b/gateway/balance/suspect.go
@@ -6,34 +6,34 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// Suspicion of endpoints that gateways share.
+// Suspected endpoints are shared between gateways.
 const (
-	// suspicionTime is how long, after an endpoint may be tried again, others are told to
-	// leave the trial to this gateway.
+	// suspicionTime is how long, once an endpoint may be probed, other gateways are still
+	// asked to leave the probe to this gateway.
 	suspicionTime = 2 * time.Second
-	// maxSuspectShare is the part of a service's endpoints above which a gateway puts their
-	// failures down to itself.
-	maxSuspectShare = 0.34
-	// freshByte is how recent an endpoint's last byte must be to count for more than the
-	// suspicion of others: two heartbeats.
-	freshByte = 400 * time.Millisecond
+	// maxSuspectFraction is the fraction of a service's endpoints above which a gateway
+	// attributes their failures to itself.
+	maxSuspectFraction = 0.34
+	// recentActivityWindow is the age, two heartbeats, up to which the last byte received
+	// from an endpoint overrides the suspicion of other gateways.
+	recentActivityWindow = 400 * time.Millisecond
 )
 
-// usable returns whether requests may be sent to e. An endpoint that others
-// suspect is left to their trials, unless this gateway gets answers from it or has
-// its own trial to make.
+// usable reports whether requests may be sent to e. Probing an endpoint that other gateways
+// suspect is left to them, unless this gateway receives responses from it or has ejected it
+// too and so probes it itself.
 func (b *Balancer) usable(e *endpoint, now time.Time) bool {
 	if !e.health.usable(now) {
 		return false
 	}
-	if e.health.ejections > 0 || now.Sub(e.lastByte.last()) < freshByte {
+	if e.health.ejections > 0 || now.Sub(e.lastByte.load()) < recentActivityWindow {
 		return true
 	}
 	return !b.cfg.Suspected(e.record.Life())
 }
 
-// suspects returns the endpoints that this gateway tells others to leave to it. The
-// caller holds the lock.
+// suspects returns the endpoints that other gateways are asked to leave to this one. The
+// lock must be held.
 func (s *shard) suspects(now time.Time) []roster.Life {
 	var out []roster.Life
 	for _, e := range s.endpoints {
@@ -41,7 +41,7 @@
 			out = append(out, e.record.Life())
 		}
 	}
-	if len(out) > 1 && float64(len(out)) > maxSuspectShare*float64(len(s.endpoints)) {
+	if len(out) > 1 && float64(len(out)) > maxSuspectFraction*float64(len(s.endpoints)) {
 		return nil
 	}
 	return out
--- a/gateway/balance/token.go
+++ b/gateway/balance/token.go
@@ -6,97 +6,103 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// Tokens of endpoints that other gateways hold.
+// Tokens for endpoints that other gateways hold.
 const (
-	// tokenTime is for how long a token may be used.
-	tokenTime = time.Second
-	// maxAhead is how long before it may be used a token is given at most: the callers who come
-	// until then are refused.
-	maxAhead = time.Second
-	// wantedTime is for how long the holder keeps its turn after it had no room for a request.
-	wantedTime = time.Second
-	// minAsk is the least time between two questions of a gateway for tokens of one endpoint.
-	minAsk = 200 * time.Millisecond
-	// unheardTime is for how long nothing may be heard from an endpoint with a limit, beyond
-	// the time between two requests, until another gateway than its holder looks whether the
-	// limit stands: the holder may have no requests for it.
-	unheardTime = 2 * time.Second
+	// tokenTTL is how long a token is valid.
+	tokenTTL = time.Second
+	// maxGrantDelay is how far in advance of its validity a token is granted at most: the
+	// gateway refuses requests that arrive before it becomes valid.
+	maxGrantDelay = time.Second
+	// demandTTL is how long after the holder could not send a request of its own it keeps
+	// its turn, and how long a gateway that requested a token takes part in the turns.
+	demandTTL = time.Second
+	// minTokenRequestInterval is the shortest interval between two token requests of a
+	// gateway for one endpoint.
+	minTokenRequestInterval = 200 * time.Millisecond
+	// staleLimitGrace is how long, beyond the interval between two requests, nothing may be
+	// heard from a rate-limited endpoint before a gateway other than its holder checks
+	// whether the limit still applies: the holder may have no requests for it.
+	staleLimitGrace = 2 * time.Second
 )
 
-// AskPause returns after what time a gateway asks again that was told when the endpoint takes
-// the next request. Drawn, so that of several gateways not always the same comes first. draw is
-// a random number from [0, 1).
-func AskPause(opensIn time.Duration, draw float64) time.Duration {
-	return time.Duration((0.5 + draw) * float64(max(opensIn, minAsk)))
+// TokenRetryDelay returns the delay before a gateway repeats a token request after being
+// told that the endpoint accepts the next request in opensIn. The delay is randomized so
+// that the same gateway does not always come first. draw is a random number in [0, 1).
+func TokenRetryDelay(opensIn time.Duration, draw float64) time.Duration {
+	return time.Duration((0.5 + draw) * float64(max(opensIn, minTokenRequestInterval)))
 }
 
-// asker is a gateway that asks for tokens.
-type asker struct {
-	// askedAt is when it did so last, lentAt when it got one.
-	askedAt, lentAt time.Time
+// tokenRequester is a gateway that requests tokens.
+type tokenRequester struct {
+	// requestedAt is when it last requested a token; grantedAt is when it was last granted
+	// one.
+	requestedAt, grantedAt time.Time
 }
 
-// lend gives a gateway the next request, which may be sent after opensIn, unless that is too far
-// ahead or another's turn. The holder and the others take turns while both want some, and so do
-// the others among themselves, so that nobody's callers are left without.
-func (l *limit) lend(gateway string, opensIn time.Duration, now time.Time) bool {
-	a := l.asker(gateway, now)
-	ownTurn := l.lent && now.Sub(l.wantedAt) < wantedTime
-	if ownTurn || opensIn > maxAhead || l.isBehind(a) {
+// grant gives a gateway the next request, which may be sent after opensIn, unless that is
+// too far ahead or it is another gateway's turn. The holder takes turns with the other
+// gateways while both have demand, and so do the other gateways among themselves, so that
+// no gateway's clients are starved.
+func (l *rateLimit) grant(gateway string, opensIn time.Duration, now time.Time) bool {
+	a := l.requester(gateway, now)
+	holderTurn := l.lastGranted && now.Sub(l.holderBlockedAt) < demandTTL
+	if holderTurn || opensIn > maxGrantDelay || l.otherWaitsLonger(a) {
 		return false
 	}
-	l.opensAt = now.Add(opensIn + LimitInterval(l.rate))
-	l.lent, a.lentAt = true, now
+	l.nextSendAt = now.Add(opensIn + LimitInterval(l.rate))
+	l.lastGranted, a.grantedAt = true, now
 	return true
 }
 
-// asker notes that a gateway asks, and forgets those that have not asked for a while.
-func (l *limit) asker(gateway string, now time.Time) *asker {
-	if l.askers == nil {
-		l.askers = map[string]*asker{}
+// requester records that a gateway requests a token, and discards gateways that have not
+// done so recently.
+func (l *rateLimit) requester(gateway string, now time.Time) *tokenRequester {
+	if l.requesters == nil {
+		l.requesters = map[string]*tokenRequester{}
 	}
-	for name, a := range l.askers {
-		if now.Sub(a.askedAt) > wantedTime {
-			delete(l.askers, name)
+	for name, a := range l.requesters {
+		if now.Sub(a.requestedAt) > demandTTL {
+			delete(l.requesters, name)
 		}
 	}
-	a := l.askers[gateway]
+	a := l.requesters[gateway]
 	if a == nil {
-		a = &asker{}
-		l.askers[gateway] = a
+		a = &tokenRequester{}
+		l.requesters[gateway] = a
 	}
-	a.askedAt = now
+	a.requestedAt = now
 	return a
 }
 
-// isBehind returns whether another gateway that asks has waited for longer.
-func (l *limit) isBehind(a *asker) bool {
-	for _, other := range l.askers {
-		if other.lentAt.Before(a.lentAt) {
+// otherWaitsLonger reports whether another requesting gateway has waited longer than a.
+func (l *rateLimit) otherWaitsLonger(a *tokenRequester) bool {
+	for _, other := range l.requesters {
+		if other.grantedAt.Before(a.grantedAt) {
 			return true
 		}
 	}
 	return false
 }
 
-// asks returns whether the holder of e may be asked for a token now: there is no use for one
-// while e rests, nor for a second one.
-func (e *endpoint) asks(now time.Time) bool {
-	if e.held || !e.limited(now) || e.resting(now) {
+// mayRequestToken reports whether the holder of e may be asked for a token now: a token has
+// no use while e is in back-off, and neither has a second one.
+func (e *endpoint) mayRequestToken(now time.Time) bool {
+	if e.held || !e.rateLimited(now) || e.inBackoff(now) {
 		return false
 	}
-	l := &e.said.limit
-	return !now.Before(l.askAt) && !now.Before(l.tokenUntil)
+	l := &e.advisory.limit
+	return !now.Before(l.nextTokenRequestAt) && !now.Before(l.tokenUntil)
 }
 
-// unheard returns whether nothing was heard from e for so long that its limit may have ended.
-func (l *limit) unheard(now time.Time) bool {
-	return now.Sub(l.heardAt) > LimitInterval(l.rate)+unheardTime
+// stale reports whether nothing has been heard from the endpoint for so long that its limit
+// may have ended.
+func (l *rateLimit) stale(now time.Time) bool {
+	return now.Sub(l.heardAt) > LimitInterval(l.rate)+staleLimitGrace
 }
 
-// ask notes that the holder is being asked.
-func (l *limit) ask(now time.Time) {
-	l.askAt = now.Add(minAsk)
+// noteTokenRequest records that the holder is being asked for a token.
+func (l *rateLimit) noteTokenRequest(now time.Time) {
+	l.nextTokenRequestAt = now.Add(minTokenRequestInterval)
 }
 
 // Grant implements tokens.Granter.
@@ -106,25 +112,26 @@
 			return
 		}
 		opensIn = e.limitOpensIn(now)
-		granted = !e.limited(now) || e.said.limit.lend(gateway, opensIn, now)
+		granted = !e.rateLimited(now) || e.advisory.limit.grant(gateway, opensIn, now)
 	})
 	return granted, opensIn
 }
 
-// Answered takes in what the holder of an endpoint answered to the question for a token: that
-// it gave one, which may be used after a time, or after what time to ask again.
-func (b *Balancer) Answered(of roster.Life, granted bool, opensIn time.Duration, now time.Time) {
+// ApplyTokenReply applies the holder's reply to a token request: either a token, which is
+// valid after opensIn, or the time after which to ask again.
+func (b *Balancer) ApplyTokenReply(of roster.Life, granted bool, opensIn time.Duration, now time.Time) {
 	b.withEndpoint(of, func(e *endpoint) {
-		l := &e.said.limit
+		l := &e.advisory.limit
 		if granted {
 			l.tokenFrom = now.Add(opensIn)
-			l.tokenUntil = l.tokenFrom.Add(tokenTime)
+			l.tokenUntil = l.tokenFrom.Add(tokenTTL)
 		}
-		l.askAt = now.Add(AskPause(opensIn, b.cfg.Random()))
+		l.nextTokenRequestAt = now.Add(TokenRetryDelay(opensIn, b.cfg.Random()))
 	})
 }
 
-// withEndpoint calls f with one life of an endpoint, under the lock, if there is one.
+// withEndpoint calls f with the given incarnation of an endpoint, if it is known, with the
+// lock held.
 func (b *Balancer) withEndpoint(of roster.Life, f func(*endpoint)) {
 	b.eachShard(func(s *shard) {
 		if e := s.endpoints[of.ID]; e != nil && e.record.Life().Same(of) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -129,13 +129,13 @@
 	g.badMembers = unreadable.New(platform.KindMembers, registry, l)
 	g.badQuarantines = unreadable.New(platform.KindQuarantine, registry, l)
 	g.balancer = balance.New(balance.Config{
-		Zone:      cfg.Zone,
-		OtherLoad: g.table.InFlight,
-		Suspected: g.table.Suspected,
-		Random:    rand.Float64,
-		Observe:   g.logBelief,
-		Advised:   g.noteAdvised,
-		Unheard:   g.askUnheard,
+		Zone:           cfg.Zone,
+		OtherLoad:      g.table.InFlight,
+		Suspected:      g.table.Suspected,
+		Random:         rand.Float64,
+		OnHealthChange: g.logBelief,
+		OnAdvisory:     g.noteAdvised,
+		OnStaleLimit:   g.askUnheard,
 	})
 	g.proxy = g.newProxy()
 	g.syncer = replica.New(g.table, l)
--- a/gateway/learn.go
+++ b/gateway/learn.go
@@ -17,7 +17,7 @@
 	if n.Version != 0 {
 		g.loads.End(roster.VM(n.Addr))
 	}
-	g.balancer.Announce(balance.Announcement{
+	g.balancer.ApplyAnnouncement(balance.Announcement{
 		Addr:        n.Addr,
 		Born:        n.Born,
 		PausedUntil: time.Now().Add(pause),
@@ -55,9 +55,9 @@
 }
 
 // logBelief writes a line when an endpoint is ejected, used again or reassigned.
-func (g *Gateway) logBelief(b balance.Belief) {
+func (g *Gateway) logBelief(b balance.HealthEvent) {
 	g.log.Info("endpoint health", "endpoint", b.Endpoint, "change", b.Change.String(),
-		"failures", b.Failures, "forMs", time.Until(b.Until).Milliseconds())
+		"failures", b.FailureRate, "forMs", time.Until(b.EjectedUntil).Milliseconds())
 }
 
 // useVersions takes in the versions that are named.
--- a/gateway/proxy/fleet_test.go
+++ b/gateway/proxy/fleet_test.go
@@ -112,10 +112,10 @@
 func (f *fleet) add(ctx context.Context) {
 	w := &world{g: f.g, endpoints: f.endpoints, down: map[string]bool{}, metrics: proxy.NewMetrics(metrics.NewRegistry())}
 	w.balancer = balance.New(balance.Config{
-		Zone:      "a",
-		OtherLoad: func(l roster.Life) int { return f.othersAt(w, l) },
-		Random:    w.random(uint64(len(f.alive()))),
-		Unheard:   func(l roster.Life) { go f.askToken(w, l) },
+		Zone:         "a",
+		OtherLoad:    func(l roster.Life) int { return f.othersAt(w, l) },
+		Random:       w.random(uint64(len(f.alive()))),
+		OnStaleLimit: func(l roster.Life) { go f.askToken(w, l) },
 	})
 	w.askToken = func(_ context.Context, l roster.Life) bool { return f.askToken(w, l) }
 	w.balancer.Update(f.list())
@@ -136,7 +136,7 @@
 func (f *fleet) hold() {
 	live := f.alive()
 	for _, w := range live {
-		w.balancer.Hold(affinity.Held(f.list(), entries(live), w.self.Name), time.Now())
+		w.balancer.SetHeld(affinity.Held(f.list(), entries(live), w.self.Name), time.Now())
 	}
 }
 
@@ -191,7 +191,7 @@
 	told := w.balancer.Advisories(false, now)
 	for _, other := range f.alive() {
 		if other != w {
-			other.balancer.Learn(told, now)
+			other.balancer.MergeAdvisories(told, now)
 		}
 	}
 }
@@ -242,7 +242,7 @@
 	time.Sleep(4 * time.Millisecond)
 	now := time.Now()
 	granted, opensIn := holder.balancer.Grant(w.self.Name, l, now)
-	w.balancer.Answered(l, granted, opensIn, now)
+	w.balancer.ApplyTokenReply(l, granted, opensIn, now)
 	return granted && opensIn == 0
 }
 
--- a/gateway/proxy/hear.go
+++ b/gateway/proxy/hear.go
@@ -20,14 +20,14 @@
 		return
 	}
 	a.told = p.cfg.ReadAdvisory(a.x.Status, a.x.Header)
-	heard := a.lease.Hear(a.told, a.sentAt, time.Now())
-	if heard.Limit != balance.LimitSame {
+	heard := a.lease.ApplyAdvisory(a.told, a.sentAt, time.Now())
+	if heard.Limit != balance.LimitUnchanged {
 		p.logLimit(c, a.lease, a.told.Limit, heard.Limit)
 	}
-	if heard.Leaves {
+	if heard.NowLeaving {
 		p.logLeaving(c, a.lease)
 	}
-	if heard.Rests {
+	if heard.BackoffExtended {
 		p.logRest(c, a.lease, a.told.Rest)
 	}
 	p.cfg.Metrics.Unreadable.Inc(int64(len(a.told.Unreadable)))
--- a/gateway/proxy/loads_test.go
+++ b/gateway/proxy/loads_test.go
@@ -12,12 +12,12 @@
 
 // announceLoaded tells what the process beside an endpoint tells once that runs version 2.
 func (w *world) announceLoaded(id string) {
-	w.balancer.Announce(balance.Announcement{Addr: id, Weights: roster.Weights{Model: "m", Version: 2}})
+	w.balancer.ApplyAnnouncement(balance.Announcement{Addr: id, Weights: roster.Weights{Model: "m", Version: 2}})
 }
 
 // announcePause tells that an endpoint is about to load weights.
 func (w *world) announcePause(id string, d time.Duration) {
-	w.balancer.Announce(balance.Announcement{Addr: id, PausedUntil: time.Now().Add(d)})
+	w.balancer.ApplyAnnouncement(balance.Announcement{Addr: id, PausedUntil: time.Now().Add(d)})
 }
 
 // Guards against the rest of a stream, cut by a load, that goes to an endpoint which loads
--- a/gateway/proxy/observe.go
+++ b/gateway/proxy/observe.go
@@ -113,7 +113,7 @@
 func (p *Proxy) logEnd(c *call, lease *balance.Lease) {
 	p.cfg.Metrics.Ended.Inc(1)
 	p.cfg.Log.Warn("endpoint ended", "request", c.id, "key", c.copies.Key().String(), "endpoint", lease.Record.ID,
-		"born", lease.Record.Born, "addr", lease.Record.Addr, "others", lease.Others(), "begun", c.headSent, "event", c.lastEventID)
+		"born", lease.Record.Born, "addr", lease.Record.Addr, "others", lease.OtherInFlight(), "begun", c.headSent, "event", c.lastEventID)
 }
 
 // logWithdrawn notes that a request is withdrawn from an endpoint.
--- a/gateway/proxy/pick.go
+++ b/gateway/proxy/pick.go
@@ -14,17 +14,17 @@
 
 // query returns what an endpoint is wanted for.
 func (p *Proxy) query(c *call) *balance.Query {
-	q := &balance.Query{Service: c.service, Exclude: c.attempted, Apart: policy.RunsApart(c.ends)}
+	q := &balance.Query{Service: c.service, Exclude: c.attempted, LeastLoaded: policy.RunsApart(c.ends)}
 	if c.lastAttempt() {
-		q.Exclude, q.Among = []string{c.current}, c.attempted
+		q.Exclude, q.Include = []string{c.current}, c.attempted
 	}
 	if c.route.Kind == routes.Stream {
 		q.Model = c.model
-		q.Reloaded = balance.Reloaded{ID: c.current, From: c.currentWeights}
+		q.Reloaded = balance.Reloaded{ID: c.current, FromVersion: c.currentWeights}
 		q.MinVersion = p.cfg.MinVersion(c.model)
 		q.Prefill = c.prefill()
 		if c.headSent {
-			q.Lasting = p.cfg.Newest(c.model)
+			q.LatestVersion = p.cfg.Newest(c.model)
 		} else {
 			q.MaxLoad = p.maxLoad(c) // a begun answer would be cut where all are full
 		}
@@ -74,7 +74,7 @@
 func (p *Proxy) pick(ctx context.Context, q *balance.Query) (*balance.Lease, error) {
 	lease, err := p.cfg.Balancer.Pick(q, time.Now())
 	var full *balance.FullError
-	if errors.As(err, &full) && full.Ask.ID != "" && p.cfg.AskToken(ctx, full.Ask) {
+	if errors.As(err, &full) && full.TokenFrom.ID != "" && p.cfg.AskToken(ctx, full.TokenFrom) {
 		return p.cfg.Balancer.Pick(q, time.Now())
 	}
 	return lease, err
--- a/gateway/proxy/proxy_test.go
+++ b/gateway/proxy/proxy_test.go
@@ -347,14 +347,14 @@
 
 func TestAStreamThatHasBegunGoesOnAtAFullEndpointRatherThanBeCut(t *testing.T) {
 	play(t, func(w *world) {
-		w.balancer.Prefer(map[string]bool{"e1": true})
+		w.balancer.SetPreferred(map[string]bool{"e1": true})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		for range 3 {
 			go w.askAs(ctx, "POST", "/stream/", "x", "Key", "secret")
 			time.Sleep(time.Millisecond)
 		}
-		w.balancer.Prefer(map[string]bool{"e0": true})
+		w.balancer.SetPreferred(map[string]bool{"e0": true})
 		a := w.ask("POST", "/stream/", "x")
 		w.g.Expect(a.cut).To(BeFalse())
 		w.g.Expect(a.Body.String()).To(Equal(stream(1, 2, 3)))
@@ -377,7 +377,7 @@
 	play(t, func(w *world) {
 		time.AfterFunc(200*time.Millisecond, func() {
 			w.minVersion.Store(2)
-			w.balancer.Announce(balance.Announcement{Addr: "e1", PausedUntil: time.Now(), Weights: roster.Weights{Model: "m", Version: 2}})
+			w.balancer.ApplyAnnouncement(balance.Announcement{Addr: "e1", PausedUntil: time.Now(), Weights: roster.Weights{Model: "m", Version: 2}})
 		})
 		a := w.ask("POST", "/stream/", "x")
 		w.g.Expect(a.Body.String()).To(Equal(stream(1)))
--- a/gateway/proxy/slowlink_test.go
+++ b/gateway/proxy/slowlink_test.go
@@ -131,7 +131,7 @@
 		s.Want("m", 2, false)
 		w.linkDelay = linkDelay
 		time.AfterFunc(versionLimit-versionMargin, func() { w.minVersion.Store(2) })
-		w.balancer.Announce(balance.Announcement{Addr: "e1", PausedUntil: time.Time{}, Weights: roster.Weights{Model: "m", Version: 2}})
+		w.balancer.ApplyAnnouncement(balance.Announcement{Addr: "e1", PausedUntil: time.Time{}, Weights: roster.Weights{Model: "m", Version: 2}})
 		time.Sleep(versionLimit - versionMargin - 100*time.Millisecond)
 		a := w.ask("POST", "/stream/", "x")
 		w.g.Expect(a.Code).To(Equal(http.StatusOK), "the other endpoint answers")
--- a/gateway/proxy/world_test.go
+++ b/gateway/proxy/world_test.go
@@ -139,12 +139,12 @@
 		}
 		w.balancer = balance.New(balance.Config{Zone: "a", OtherLoad: func(roster.Life) int { return 0 }, Random: func() float64 { return 0 }})
 		w.balancer.Update(list)
-		w.balancer.Prefer(map[string]bool{"e0": true})
+		w.balancer.SetPreferred(map[string]bool{"e0": true})
 		held := map[string]bool{}
 		for id := range list.Endpoints {
 			held[id] = true
 		}
-		w.balancer.Hold(held, time.Now())
+		w.balancer.SetHeld(held, time.Now())
 		w.client = upstream.NewClient(upstream.WithDialer(w))
 		w.budget = proxy.NewBudget(0.2, 100, 10*time.Second, func() int { return 1 })
 		w.poison, w.trials = poison.NewTable(func(poison.Change) {}), poison.NewTrials()
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -142,8 +142,8 @@
 		return
 	}
 	g.dealt = now
-	g.balancer.Prefer(affinity.Preferred(now.endpoints, g.gateways(), g.self.Name))
-	g.balancer.Hold(affinity.Held(now.endpoints, g.readyGateways(), g.self.Name), time.Now())
+	g.balancer.SetPreferred(affinity.Preferred(now.endpoints, g.gateways(), g.self.Name))
+	g.balancer.SetHeld(affinity.Held(now.endpoints, g.readyGateways(), g.self.Name), time.Now())
 }
 
 // dealt is from what endpoints were last dealt out to gateways.
@@ -167,7 +167,7 @@
 // leasable returns what is known of the endpoints of a service that run a model, for leases
 // on their loads.
 func (g *Gateway) leasable(service, model string) []leases.Endpoint {
-	places := g.balancer.Places(&balance.Query{Service: service, Model: model, MinVersion: g.minVersion(model)}, time.Now())
+	places := g.balancer.Capacities(&balance.Query{Service: service, Model: model, MinVersion: g.minVersion(model)}, time.Now())
 	out := make([]leases.Endpoint, 0, len(places))
 	for _, p := range places {
 		out = append(out, leases.Endpoint{VM: roster.VM(p.Addr), Slots: p.Slots, InFlight: p.InFlight, Away: !p.Usable})
--- a/member/advice_test.go
+++ b/member/advice_test.go
@@ -19,7 +19,7 @@
 func (n *node) answer(f *fleet, a advisory.Advisory) {
 	lease, err := n.balancer.Pick(&balance.Query{Service: "s"}, time.Now())
 	f.Expect(err).NotTo(HaveOccurred())
-	lease.Hear(a, time.Now(), time.Now())
+	lease.ApplyAdvisory(a, time.Now(), time.Now())
 	lease.Done(balance.Served, time.Now())
 }
 
@@ -41,7 +41,7 @@
 		t.Run(fmt.Sprintf("%d gateways, loss %g", c.size, c.loss), func(t *testing.T) {
 			playFleet(t, c.size, func(f *fleet, nodes []*node) {
 				holder := nodes[0]
-				holder.balancer.Hold(map[string]bool{"e": true}, time.Now())
+				holder.balancer.SetHeld(map[string]bool{"e": true}, time.Now())
 				f.mu.Lock()
 				f.loss = c.loss
 				f.mu.Unlock()
@@ -63,7 +63,7 @@
 	for _, size := range []int{6, 39} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			playFleet(t, size, func(f *fleet, nodes []*node) {
-				nodes[0].balancer.Hold(map[string]bool{"e": true}, time.Now())
+				nodes[0].balancer.SetHeld(map[string]bool{"e": true}, time.Now())
 				nodes[0].answer(f, advisory.Advisory{Limit: advisory.PerSecond(1)})
 				time.Sleep(5 * time.Second)
 				f.kill(size - 1)
--- a/member/fleet_test.go
+++ b/member/fleet_test.go
@@ -140,7 +140,7 @@
 			n.beater.SendSoon()
 		}
 	})
-	n.balancer = balance.New(balance.Config{OtherLoad: n.table.InFlight, Random: rand.Float64, Advised: func() { n.beater.SendSoon() }})
+	n.balancer = balance.New(balance.Config{OtherLoad: n.table.InFlight, Random: rand.Float64, OnAdvisory: func() { n.beater.SendSoon() }})
 	n.balancer.Update(advised)
 	n.conn = &conn{node: n, addr: peerOf(i), queue: make(chan []byte, 1<<12), done: make(chan struct{})}
 	var known []member.Entry
@@ -198,7 +198,7 @@
 // hearAdvice takes in what another gateway tells of endpoints, and as a relay tells it on.
 func (n *node) hearAdvice(told []member.Advice) {
 	now := time.Now()
-	if len(n.balancer.Learn(advisory.Unpack(told, now), now)) > 0 && n.table.IsRelay() {
+	if len(n.balancer.MergeAdvisories(advisory.Unpack(told, now), now)) > 0 && n.table.IsRelay() {
 		n.beater.SendSoon()
 	}
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -132,15 +132,15 @@
 mutant "a version is left before the manifest of the newer is there" sidecar/stage/fetch.go 's/err != nil \{\n\t\t\t\tcontinue/false {\n\t\t\t\tcontinue/; s/if _, err := s.listed\(ctx, model, newest\); false/if false/' ./sidecar/stage 'TestAVersionIsNotLeft'
 mutant "all who ask for a chunk wait" exchange/server.go 's/s.waiting = waiting/s.waiting = 100 + waiting/' ./exchange 'TestChunksAreSent'
 
-mutant "a holder counts nothing" gateway/balance/limit.go 's/l.opensAt, l.tokenUntil = now.Add\(LimitInterval\(l.rate\)\), time.Time\{\}/l.tokenUntil = time.Time{}/' ./gateway/proxy 'TestEndpointsGetMoreThan'
+mutant "a holder counts nothing" gateway/balance/limit.go 's/l.nextSendAt, l.tokenUntil = now.Add\(LimitInterval\(l.rate\)\), time.Time\{\}/l.tokenUntil = time.Time{}/' ./gateway/proxy 'TestEndpointsGetMoreThan'
 mutant "every gateway holds an endpoint" gateway/affinity/held.go 's/rendezvous.Choose\(id, near\) == self/rendezvous.Choose(id, near) != ""/' ./gateway/affinity 'TestOneGatewayHolds'
-mutant "nobody is told of limits" gateway/balance/news.go 's/fresh := \(n.heard/fresh := false \&\& (n.heard/' ./member 'TestALimitIsKnownByAllSoon'
-mutant "a late head ends a limit" gateway/balance/limit.go 's/l.named && sentAt.After\(l.heardAt\)/l.named/' ./gateway/balance 'TestSuite'
-mutant "a leaving endpoint is used" gateway/balance/said.go 's/return e.record.Leaving \|\| e.said.leaving/return e.record.Leaving/' ./gateway/proxy 'TestRequestsReachEndpointsThatSaid'
-mutant "a rest ends with the next answer" gateway/balance/said.go 's/if d == 0 \|\| !until.After/if !until.After/; s/s.restUntil\) \{\n\t\treturn false/s.restUntil) \&\& d > 0 {\n\t\treturn false/' ./gateway/balance 'TestSuite'
+mutant "nobody is told of limits" gateway/balance/propagation.go 's/fresh := \(p.firsthand/fresh := false \&\& (p.firsthand/' ./member 'TestALimitIsKnownByAllSoon'
+mutant "a late head ends a limit" gateway/balance/limit.go 's/l.declared && sentAt.After\(l.heardAt\)/l.declared/' ./gateway/balance 'TestSuite'
+mutant "a leaving endpoint is used" gateway/balance/advisory.go 's/return e.record.Leaving \|\| e.advisory.leaving/return e.record.Leaving/' ./gateway/proxy 'TestRequestsReachEndpointsThatSaid'
+mutant "a rest ends with the next answer" gateway/balance/advisory.go 's/if d == 0 \|\| !until.After/if !until.After/; s/s.backoffUntil\) \{\n\t\treturn false/s.backoffUntil) \&\& d > 0 {\n\t\treturn false/' ./gateway/balance 'TestSuite'
 mutant "a rest is a failure" gateway/proxy/answer.go 's/if told.Rest > 0/if false/' ./gateway/proxy 'TestAnEndpointThatAskedForRestOften'
-mutant "a holder lends nothing" gateway/balance/token.go 's/ownTurn \|\| opensIn > maxAhead/true || ownTurn || opensIn > maxAhead/' ./gateway/proxy 'TestAnEndpointWithALimitServes|TestALimitEndsWhose'
-mutant "a holder always has its turn" gateway/balance/token.go 's/ownTurn := l.lent \&\& /ownTurn := /' ./gateway/proxy 'TestTheHolder'
+mutant "a holder lends nothing" gateway/balance/token.go 's/holderTurn \|\| opensIn > maxGrantDelay/true || holderTurn || opensIn > maxGrantDelay/' ./gateway/proxy 'TestAnEndpointWithALimitServes|TestALimitEndsWhose'
+mutant "a holder always has its turn" gateway/balance/token.go 's/holderTurn := l.lastGranted \&\& /holderTurn := /' ./gateway/proxy 'TestTheHolder'
 mutant "ends that another request explains count" gateway/poison/table.go 's/if q.Explains\(&other.Record\)/if false/' ./gateway/poison 'TestARequestIsQuarantinedWith'
 
 echo "$passed passed, $failed failed"
