--- a/gateway/proxy/advisory.go
+++ b/gateway/proxy/advisory.go
@@ -20,14 +20,14 @@
 		return
 	}
 	a.advisory = p.cfg.ReadAdvisory(a.exchange.Status, a.exchange.Header)
-	changes := a.lease.Hear(a.advisory, a.sentAt, time.Now())
-	if changes.Limit != balance.LimitSame {
+	changes := a.lease.ApplyAdvisory(a.advisory, a.sentAt, time.Now())
+	if changes.Limit != balance.LimitUnchanged {
 		p.logLimit(c, a.lease, a.advisory.Limit, changes.Limit)
 	}
-	if changes.Leaves {
+	if changes.NowLeaving {
 		p.logLeaving(c, a.lease)
 	}
-	if changes.Rests {
+	if changes.BackoffExtended {
 		p.logRest(c, a.lease, a.advisory.Rest)
 	}
 	p.cfg.Metrics.Unreadable.Inc(int64(len(a.advisory.Unreadable)))
--- a/gateway/proxy/fleet_test.go
+++ b/gateway/proxy/fleet_test.go
@@ -112,10 +112,10 @@
 func (f *fleet) add(ctx context.Context) {
 	w := &harness{g: f.g, endpoints: f.endpoints, down: map[string]bool{}, metrics: proxy.NewMetrics(metrics.NewRegistry())}
 	w.balancer = balance.New(balance.Config{
-		Zone:      "a",
-		OtherLoad: func(l roster.Life) int { return f.othersAt(w, l) },
-		Random:    w.random(uint64(len(f.alive()))),
-		Unheard:   func(l roster.Life) { go f.askToken(w, l) },
+		Zone:         "a",
+		OtherLoad:    func(l roster.Life) int { return f.othersAt(w, l) },
+		Random:       w.random(uint64(len(f.alive()))),
+		OnStaleLimit: func(l roster.Life) { go f.askToken(w, l) },
 	})
 	w.askToken = func(_ context.Context, l roster.Life) bool { return f.askToken(w, l) }
 	w.balancer.Update(f.list())
@@ -136,7 +136,7 @@
 func (f *fleet) assignEndpoints() {
 	live := f.alive()
 	for _, w := range live {
-		w.balancer.Hold(affinity.Held(f.list(), entries(live), w.self.Name), time.Now())
+		w.balancer.SetHeld(affinity.Held(f.list(), entries(live), w.self.Name), time.Now())
 	}
 }
 
@@ -191,7 +191,7 @@
 	advisories := w.balancer.Advisories(false, now)
 	for _, other := range f.alive() {
 		if other != w {
-			other.balancer.Learn(advisories, now)
+			other.balancer.MergeAdvisories(advisories, now)
 		}
 	}
 }
@@ -243,7 +243,7 @@
 	time.Sleep(4 * time.Millisecond)
 	now := time.Now()
 	granted, opensIn := holder.balancer.Grant(w.self.Name, l, now)
-	w.balancer.Answered(l, granted, opensIn, now)
+	w.balancer.ApplyTokenReply(l, granted, opensIn, now)
 	return granted && opensIn == 0
 }
 
--- a/gateway/proxy/loads_test.go
+++ b/gateway/proxy/loads_test.go
@@ -12,12 +12,12 @@
 
 // announceLoaded sends the announcement of a sidecar whose endpoint now runs version 2.
 func (w *harness) announceLoaded(id string) {
-	w.balancer.Announce(balance.Announcement{Addr: id, Weights: roster.Weights{Model: "m", Version: 2}})
+	w.balancer.ApplyAnnouncement(balance.Announcement{Addr: id, Weights: roster.Weights{Model: "m", Version: 2}})
 }
 
 // announcePause announces that an endpoint is about to load weights.
 func (w *harness) announcePause(id string, d time.Duration) {
-	w.balancer.Announce(balance.Announcement{Addr: id, PausedUntil: time.Now().Add(d)})
+	w.balancer.ApplyAnnouncement(balance.Announcement{Addr: id, PausedUntil: time.Now().Add(d)})
 }
 
 // Guards against resuming a stream that was cut by a load at an endpoint that is the next to
--- a/gateway/proxy/pick.go
+++ b/gateway/proxy/pick.go
@@ -14,18 +14,18 @@
 
 // query returns the requirements for selecting an endpoint.
 func (p *Proxy) query(c *call) *balance.Query {
-	q := &balance.Query{Service: c.service, Exclude: c.attempted, Apart: policy.RequiresIsolation(c.endCount)}
+	q := &balance.Query{Service: c.service, Exclude: c.attempted, LeastLoaded: policy.RequiresIsolation(c.endCount)}
 	if c.lastAttempt() {
-		q.Exclude, q.Among = []string{c.current}, c.attempted
+		q.Exclude, q.Include = []string{c.current}, c.attempted
 	}
 	if c.route.Kind == routes.Stream {
 		q.Model = c.model
-		q.Reloaded = balance.Reloaded{ID: c.current, From: c.currentWeights}
+		q.Reloaded = balance.Reloaded{ID: c.current, FromVersion: c.currentWeights}
 		q.MinVersion = p.cfg.MinVersion(c.model)
 		q.Prefill = c.prefill()
 		// A response that has begun has no load limit: it would be cut if all endpoints were full.
 		if c.headSent {
-			q.Lasting = p.cfg.NewestVersion(c.model)
+			q.LatestVersion = p.cfg.NewestVersion(c.model)
 		} else {
 			q.MaxLoad = p.maxLoad(c)
 		}
@@ -76,7 +76,7 @@
 func (p *Proxy) pick(ctx context.Context, q *balance.Query) (*balance.Lease, error) {
 	lease, err := p.cfg.Balancer.Pick(q, time.Now())
 	var full *balance.FullError
-	if errors.As(err, &full) && full.Ask.ID != "" && p.cfg.AskToken(ctx, full.Ask) {
+	if errors.As(err, &full) && full.TokenFrom.ID != "" && p.cfg.AskToken(ctx, full.TokenFrom) {
 		return p.cfg.Balancer.Pick(q, time.Now())
 	}
 	return lease, err
--- a/member/fleet_test.go
+++ b/member/fleet_test.go
@@ -139,7 +139,7 @@
 			n.beater.SendSoon()
 		}
 	})
-	n.balancer = balance.New(balance.Config{OtherLoad: n.table.InFlight, Random: rand.Float64, Advised: func() { n.beater.SendSoon() }})
+	n.balancer = balance.New(balance.Config{OtherLoad: n.table.InFlight, Random: rand.Float64, OnAdvisory: func() { n.beater.SendSoon() }})
 	n.balancer.Update(advisingEndpoint)
 	n.conn = &conn{node: n, addr: peerAddr(i), queue: make(chan []byte, 1<<12), done: make(chan struct{})}
 	var known []member.Entry
@@ -197,7 +197,7 @@
 // handleAdvice records advice from another gateway; a relay forwards it.
 func (n *node) handleAdvice(told []member.Advice) {
 	now := time.Now()
-	if len(n.balancer.Learn(advisory.Unpack(told, now), now)) > 0 && n.table.IsRelay() {
+	if len(n.balancer.MergeAdvisories(advisory.Unpack(told, now), now)) > 0 && n.table.IsRelay() {
 		n.beater.SendSoon()
 	}
 }
