--- a/gateway/proxy/slowlink_test.go
+++ b/gateway/proxy/slowlink_test.go
@@ -78,7 +78,7 @@
 func (h *stagedEndpoint) Report(context.Context) (*stage.Report, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return &stage.Report{Held: []stage.Held{{Model: "m", Version: h.version, Whole: true}}}, nil
+	return &stage.Report{Loaded: []stage.LoadedWeights{{Model: "m", Version: h.version, Complete: true}}}, nil
 }
 
 func (h *stagedEndpoint) Unload(context.Context, stage.Order) error {
@@ -112,15 +112,15 @@
 
 func (h *stagedEndpoint) Pause(context.Context, time.Duration) {}
 
-func (h *stagedEndpoint) Started(context.Context, int64, bool) {}
+func (h *stagedEndpoint) NotifyStarted(context.Context, int64, bool) {}
 
-func (h *stagedEndpoint) LeaseLoad(context.Context, string, time.Duration) stage.Lease {
-	return stage.Lease{Again: time.Second}
+func (h *stagedEndpoint) RequestLoadLease(context.Context, string, time.Duration) stage.Lease {
+	return stage.Lease{RetryAfter: time.Second}
 }
 
 func (h *stagedEndpoint) Capacity() stage.Capacity { return stage.Capacity{} }
 
-func (h *stagedEndpoint) Loaded(context.Context, string, int64) {}
+func (h *stagedEndpoint) NotifyLoaded(context.Context, string, int64) {}
 
 // Guards against a request that begins on old weights past their limit. A gateway can't recall
 // what it has sent: a request that is withdrawn in time still arrives at its endpoint after the
@@ -130,10 +130,10 @@
 	h := &stagedEndpoint{version: 1}
 	runHarness(t, func(w *harness) {
 		ctx, cancel := context.WithCancel(context.Background())
-		s := stage.New(stage.Config{Self: swarm.Member{VM: "e0"}, Endpoint: h, Origin: h, Fleet: h, Limit: versionLimit, Log: log.New(io.Discard)})
+		s := stage.New(stage.Config{Self: swarm.Member{VM: "e0"}, Endpoint: h, Origin: h, Fleet: h, VersionLimit: versionLimit, Log: log.New(io.Discard)})
 		go s.Run(ctx)
 		named := time.Now()
-		s.Want("m", 2, false)
+		s.SetTarget("m", 2, false)
 		w.linkDelay = linkDelay
 		time.AfterFunc(versionLimit-versionMargin, func() { w.minVersion.Store(2) })
 		w.balancer.ApplyAnnouncement(balance.Announcement{Addr: "e1", PausedUntil: time.Time{}, Weights: roster.Weights{Model: "m", Version: 2}})
