--- a/weights/digest.go
+++ b/weights/digest.go
@@ -1,8 +1,8 @@
-// Package weights binds chunks of weights to one complete version.
+// Package weights verifies that chunks of model weights belong to one version.
 //
-// A Manifest lists a digest for each chunk and for the whole. A Set accepts
-// only chunks that match it, and is complete only when every chunk has. A Set owns
-// its chunks under one lock; a Manifest does not change.
+// A Manifest lists the digest of each chunk and of the complete weights. A Set accepts only
+// chunks that match its manifest, and is complete once it holds all of them. A Set guards its
+// chunks with a single lock. A Manifest is immutable.
 package weights
 
 import (
@@ -16,24 +16,24 @@
 // DigestSize is the length of a Digest in bytes.
 const DigestSize = 32
 
-// Digest is a digest by BLAKE3, or by another Hash where that is said.
+// Digest is a BLAKE3 digest, unless another Hash is specified.
 type Digest [DigestSize]byte
 
-// Sum returns the digest of b.
+// Sum returns the BLAKE3 digest of b.
 func Sum(b []byte) Digest {
 	return blake3.Sum256(b)
 }
 
-// Hash names a hash function; the zero value is BLAKE3.
+// Hash identifies a hash function. The zero value is BLAKE3.
 type Hash string
 
-// The hash functions of chunks.
+// Hash functions for chunks.
 const (
 	HashBLAKE3 Hash = ""
 	HashSHA256 Hash = "sha256"
 )
 
-// Sum returns the digest of b.
+// Sum returns the digest of b by h.
 func (h Hash) Sum(b []byte) Digest {
 	if h == HashSHA256 {
 		return sha256.Sum256(b)
@@ -46,7 +46,7 @@
 	return hex.EncodeToString(d[:])
 }
 
-// Short returns the first characters of d, for people.
+// Short returns the first 12 hex digits of d, for logs and error messages.
 func (d Digest) Short() string {
 	return d.String()[:12]
 }
@@ -56,7 +56,7 @@
 	return []byte(d.String()), nil
 }
 
-// UnmarshalText reads d from hex.
+// UnmarshalText decodes d from hex.
 func (d *Digest) UnmarshalText(b []byte) error {
 	n, err := hex.Decode(d[:], b)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// ParseDigest returns the digest written in hex in s.
+// ParseDigest parses a digest in hex.
 func ParseDigest(s string) (Digest, error) {
 	var d Digest
 	if len(s) != 2*DigestSize {
@@ -83,7 +83,7 @@
 	return d[:], nil
 }
 
-// UnmarshalBinary reads d from bytes.
+// UnmarshalBinary sets d to the bytes of b.
 func (d *Digest) UnmarshalBinary(b []byte) error {
 	if len(b) != DigestSize {
 		return fmt.Errorf("weights: digest of %d bytes, want %d", len(b), DigestSize)
--- a/weights/manifest.go
+++ b/weights/manifest.go
@@ -10,46 +10,47 @@
 	"github.com/zeebo/blake3"
 )
 
-// ManifestSuffix follows the path of weights at the origin to name their manifest.
+// ManifestSuffix is appended to the path of weights at the origin to form the path of their
+// manifest.
 const ManifestSuffix = ".manifest.json"
 
-// MaxManifestBytes is the largest manifest that is read, in bytes.
+// MaxManifestBytes limits how many bytes of a manifest are read.
 const MaxManifestBytes = 8 << 20
 
-// Limits on a chunk's size, in bytes.
+// Limits on the chunk size, in bytes.
 const (
-	// MinChunkSize keeps manifests short.
+	// MinChunkSize limits the length of manifests.
 	MinChunkSize = 4 << 10
-	// MaxChunkSize is what is held in memory of a chunk that is not verified yet.
+	// MaxChunkSize limits the memory used for a chunk that is not verified yet.
 	MaxChunkSize = 64 << 20
 )
 
-// Manifest lists what one complete version of weights consists of.
+// Manifest lists the chunks of one version of weights.
 type Manifest struct {
 	// Size is the length of the weights in bytes.
 	Size int64 `json:"size"`
-	// ChunkSize is the length of each chunk but the last, in bytes.
+	// ChunkSize is the length of each chunk except the last, in bytes.
 	ChunkSize int64 `json:"chunkSize"`
-	// Whole is the digest of all bytes.
+	// Whole is the digest of the complete weights.
 	Whole Digest `json:"whole"`
-	// Chunks has the digest of each chunk in order.
+	// Chunks lists the digests of the chunks in order.
 	Chunks []Digest `json:"chunks"`
-	// Hash is the function of the digests in Chunks. With another than BLAKE3
-	// there is no digest of the whole; it is checked chunk by chunk.
+	// Hash is the hash function of the digests in Chunks. If it is not BLAKE3, there is
+	// no digest of the complete weights, and only the individual chunks are verified.
 	Hash Hash `json:"hash,omitempty"`
 }
 
-// ManifestError tells why a manifest can't be used.
+// ManifestError reports why a manifest cannot be used.
 type ManifestError struct {
 	Reason string
 }
 
-// Error returns the reason.
+// Error implements error.
 func (e *ManifestError) Error() string {
 	return "weights: bad manifest: " + e.Reason
 }
 
-// NewManifest returns the manifest of the weights read from r.
+// NewManifest reads weights from r and returns their manifest.
 func NewManifest(r io.Reader, chunkSize int64) (*Manifest, error) {
 	m := &Manifest{ChunkSize: chunkSize}
 	whole := blake3.New()
@@ -72,7 +73,7 @@
 	return m, m.check()
 }
 
-// ParseManifest returns the manifest in b, checked for consistency.
+// ParseManifest decodes a manifest from JSON and checks it for consistency.
 func ParseManifest(b []byte) (*Manifest, error) {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
@@ -85,10 +86,10 @@
 
 func (m *Manifest) check() error {
 	if m.Hash != HashBLAKE3 && m.Hash != HashSHA256 {
-		return &ManifestError{Reason: fmt.Sprintf("hash %q", m.Hash)}
+		return &ManifestError{Reason: fmt.Sprintf("unknown hash function %q", m.Hash)}
 	}
 	if m.Size <= 0 {
-		return &ManifestError{Reason: fmt.Sprintf("size %d", m.Size)}
+		return &ManifestError{Reason: fmt.Sprintf("size %d is not positive", m.Size)}
 	}
 	if m.ChunkSize < MinChunkSize || m.ChunkSize > MaxChunkSize {
 		return &ManifestError{Reason: fmt.Sprintf("chunk size %d, want %d to %d", m.ChunkSize, MinChunkSize, MaxChunkSize)}
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// Root returns the digest that names this manifest, and so the version.
+// Root returns the digest that identifies the manifest, and thereby the version.
 func (m *Manifest) Root() Digest {
 	h := blake3.New()
 	var n [16]byte
@@ -116,8 +117,8 @@
 	return d
 }
 
-// NewSHA256Manifest returns the manifest of chunks of chunkSize bytes each,
-// which are known by their SHA-256 digests alone.
+// NewSHA256Manifest returns a manifest of chunks that each have chunkSize bytes and of which
+// only the SHA-256 digests are known.
 func NewSHA256Manifest(chunkSize int64, chunks []Digest) (*Manifest, error) {
 	m := &Manifest{Size: chunkSize * int64(len(chunks)), ChunkSize: chunkSize, Chunks: chunks, Hash: HashSHA256}
 	return m, m.check()
--- a/weights/set.go
+++ b/weights/set.go
@@ -8,32 +8,35 @@
 	"github.com/zeebo/blake3"
 )
 
-// ChunkError tells that bytes offered as a chunk are not that chunk.
+// ChunkError reports data that does not match its digest in the manifest.
 type ChunkError struct {
+	// Chunk is the index of the chunk, or -1 for the complete weights.
 	Chunk int
 	Got   Digest
 	Want  Digest
 }
 
-// Error names the chunk and both digests.
+// Error implements error.
 func (e *ChunkError) Error() string {
 	return fmt.Sprintf("weights: chunk %d has digest %s, want %s", e.Chunk, e.Got.Short(), e.Want.Short())
 }
 
 // Set holds the verified chunks of one version. It is safe for concurrent use.
 //
-// Spec step: chunks.pml, "accept" and "complete".
+// spec/chunks.pml models Put, Complete and VerifyWhole.
 type Set struct {
 	m    *Manifest
 	root Digest
 
 	mu     sync.RWMutex
 	chunks [][]byte
-	order  []int
+	// arrivalOrder lists the indices of the chunks held in order of arrival.
+	arrivalOrder []int
+	// notify is closed and replaced when a chunk is added.
 	notify chan struct{}
 }
 
-// NewSet returns an empty Set for the version that m lists.
+// NewSet returns an empty Set for the version with manifest m.
 func NewSet(m *Manifest) *Set {
 	return &Set{
 		m:      m,
@@ -43,19 +46,19 @@
 	}
 }
 
-// Manifest returns what the set is checked against.
+// Manifest returns the manifest that chunks are verified against.
 func (s *Set) Manifest() *Manifest {
 	return s.m
 }
 
-// Root returns the digest that names the version.
+// Root returns the root digest of the manifest, which identifies the version.
 func (s *Set) Root() Digest {
 	return s.root
 }
 
-// Put verifies b and keeps it as chunk i. It returns whether the chunk is new,
-// and a *ChunkError when b is anything else than chunk i of this version.
-// The set owns b afterwards.
+// Put verifies b and stores it as chunk i. It reports whether the chunk is new, and returns a
+// *ChunkError if b is not chunk i of this version. The set retains b, so the caller must not
+// modify it afterwards.
 func (s *Set) Put(i int, b []byte) (bool, error) {
 	if i < 0 || i >= len(s.m.Chunks) {
 		return false, &ChunkError{Chunk: i}
@@ -69,13 +72,13 @@
 		return false, nil
 	}
 	s.chunks[i] = b
-	s.order = append(s.order, i)
+	s.arrivalOrder = append(s.arrivalOrder, i)
 	close(s.notify)
 	s.notify = make(chan struct{})
 	return true, nil
 }
 
-// Get returns chunk i, or nil when the set does not hold it.
+// Get returns chunk i, or nil if the set does not hold it.
 func (s *Set) Get(i int) []byte {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -85,31 +88,32 @@
 	return s.chunks[i]
 }
 
-// Len returns how many chunks the set holds.
+// Len returns the number of chunks held.
 func (s *Set) Len() int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return len(s.order)
+	return len(s.arrivalOrder)
 }
 
-// Complete returns whether every chunk is held.
+// Complete reports whether all chunks are held.
 func (s *Set) Complete() bool {
 	return s.Len() == len(s.m.Chunks)
 }
 
-// Since returns the chunks that arrived after the first n, in order of
-// arrival, and a channel that is closed when another arrives.
+// Since returns the indices of the chunks that arrived after the first n, in order of
+// arrival, and a channel that is closed when the next chunk arrives. If n is out of range, it
+// returns all chunks.
 func (s *Set) Since(n int) ([]int, <-chan struct{}) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	if n < 0 || n > len(s.order) {
+	if n < 0 || n > len(s.arrivalOrder) {
 		n = 0
 	}
-	return append([]int(nil), s.order[n:]...), s.notify
+	return append([]int(nil), s.arrivalOrder[n:]...), s.notify
 }
 
-// VerifyWhole hashes all bytes once more and compares them with the digest of
-// the whole. Nothing is loaded before it has returned nil.
+// VerifyWhole hashes the complete weights again and compares the result with the manifest.
+// Weights must not be loaded unless it returns nil.
 func (s *Set) VerifyWhole() error {
 	if s.m.Hash != HashBLAKE3 {
 		return s.verifyChunks()
@@ -126,10 +130,10 @@
 	return nil
 }
 
-// verifyChunks hashes each chunk once more.
+// verifyChunks hashes each chunk again and compares the result with the manifest.
 func (s *Set) verifyChunks() error {
 	if !s.Complete() {
-		return &ManifestError{Reason: "set is not complete"}
+		return &ManifestError{Reason: "chunk set is incomplete"}
 	}
 	for i, want := range s.m.Chunks {
 		if got := s.m.Hash.Sum(s.Get(i)); got != want {
@@ -139,10 +143,11 @@
 	return nil
 }
 
-// WriteTo writes the complete weights to w, or fails before the first byte.
+// WriteTo writes the complete weights to w. If the set is incomplete, it fails without writing
+// anything.
 func (s *Set) WriteTo(w io.Writer) (int64, error) {
 	if !s.Complete() {
-		return 0, &ManifestError{Reason: "set is not complete"}
+		return 0, &ManifestError{Reason: "chunk set is incomplete"}
 	}
 	var total int64
 	for i := range s.m.Chunks {
--- a/weights/set_test.go
+++ b/weights/set_test.go
@@ -29,7 +29,7 @@
 		for i := len(m.Chunks) - 1; i >= 0; i-- {
 			Expect(s.Complete()).To(BeFalse())
 			_, err := s.WriteTo(io.Discard)
-			Expect(err).To(HaveOccurred(), "an incomplete set is not written")
+			Expect(err).To(HaveOccurred(), "an incomplete set must not be written")
 			off, n := m.Range(i)
 			wrong := bytes.Clone(data[off : off+n])
 			wrong[0] ^= 1
@@ -43,7 +43,7 @@
 		Expect(s.VerifyWhole()).To(Succeed())
 	})
 
-	It("refuses a manifest that does not add up", func() {
+	It("rejects an inconsistent manifest", func() {
 		for _, text := range []string{`{}`, `{"size":1,"chunkSize":4096,"whole":"00","chunks":[]}`, `{"size":-1}`, `[]`, `{"sise":1}`} {
 			_, err := weights.ParseManifest([]byte(text))
 			Expect(err).To(HaveOccurred(), text)
@@ -51,8 +51,8 @@
 	})
 })
 
-// A set that holds chunks offered from two versions is never complete with a
-// chunk of the other. Spec step: chunks.pml, "put".
+// Guards against weights that mix two versions, which happens if a set accepts a chunk of
+// another version than its own. The inline put of spec/chunks.pml models this step.
 func TestSetNeverMixesVersions(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -74,7 +74,7 @@
 		}
 		var out bytes.Buffer
 		if _, err := s.WriteTo(&out); err == nil && !bytes.Equal(out.Bytes(), a) {
-			t.Fatal("mixed weights")
+			t.Fatal("the set was written with chunks of another version")
 		}
 	})
 }
@@ -88,7 +88,7 @@
 		}
 		for i := range m.Chunks {
 			if off, n := m.Range(i); off < 0 || n <= 0 || off+n > m.Size {
-				t.Fatalf("chunk %d is %d bytes at %d of %d", i, n, off, m.Size)
+				t.Fatalf("chunk %d has %d bytes at offset %d of %d", i, n, off, m.Size)
 			}
 		}
 	})
