--- a/origin/origin.go
+++ b/origin/origin.go
@@ -14,37 +14,36 @@
 	"github.com/silverdeck/silverdeck/weights"
 )
 
-// Source is where weights come from in the first place.
+// Source reads manifests and weights by path.
 type Source interface {
-	// Manifest returns the bytes of the manifest of the weights at path.
+	// Manifest returns the encoded manifest of the weights at path.
 	Manifest(ctx context.Context, path string) ([]byte, error)
-	// ReadRange returns n bytes at off of the weights at path. An etag that is
-	// not empty must still hold; otherwise the result is *ChangedError. The
-	// second result is the ETag of what was read. With an error the bytes that
-	// had come are returned.
+	// ReadRange returns n bytes at offset off of the weights at path and the ETag of the
+	// response. If etag is not empty and no longer matches, it returns a *ChangedError. If
+	// reading the body fails, it returns the bytes received so far along with the error.
 	ReadRange(ctx context.Context, path, etag string, off, n int64) ([]byte, string, error)
 }
 
-// ChangedError tells that the weights at the origin are no longer those that
-// the reader began with.
+// ChangedError reports that the weights at the origin are no longer the ones that the reader
+// started with.
 type ChangedError struct {
 	Path string
 }
 
-// Error names the path.
+// Error implements error.
 func (e *ChangedError) Error() string {
-	return fmt.Sprintf("origin: %s changed while it was read", e.Path)
+	return fmt.Sprintf("origin: %s changed while being read", e.Path)
 }
 
-// StatusError tells that the origin answered with an unexpected status.
+// StatusError reports an unexpected HTTP status from the origin.
 type StatusError struct {
 	Path   string
 	Status int
 }
 
-// Error names the path and the status.
+// Error implements error.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("origin: %s: status %d", e.Path, e.Status)
+	return fmt.Sprintf("origin: %s: unexpected status %d", e.Path, e.Status)
 }
 
 type client struct {
@@ -52,7 +51,7 @@
 	http *http.Client
 }
 
-// NewClient returns a Source that reads from the origin at base.
+// NewClient returns a Source that reads from the origin at the URL base.
 func NewClient(base string, c *http.Client) Source {
 	return &client{base: strings.TrimSuffix(base, "/"), http: c}
 }
@@ -98,7 +97,7 @@
 	}
 	b := make([]byte, n)
 	if got, err := io.ReadFull(resp.Body, b); err != nil {
-		return b[:got], "", errors.Join(fmt.Errorf("origin: %s: short range", path), err)
+		return b[:got], "", errors.Join(fmt.Errorf("origin: %s: response body truncated", path), err)
 	}
 	return b, resp.Header.Get("ETag"), nil
 }
--- a/peerconn/client.go
+++ b/peerconn/client.go
@@ -1,6 +1,6 @@
-// Package peerconn carries calls between silverdeck's own processes, by net/rpc over
-// HTTP on the processes' peer ports. It owns the connections that a process keeps
-// to others; each call ends with its context.
+// Package peerconn implements calls between silverdeck processes, using net/rpc over HTTP on
+// their peer ports. A Pool owns the connections that a process keeps to its peers. Each call
+// returns when its context ends.
 package peerconn
 
 import (
@@ -17,88 +17,88 @@
 	"sync/atomic"
 )
 
-// RPCPath is where net/rpc stands on a peer port.
+// RPCPath is the path of the net/rpc handler on a peer port.
 const RPCPath = "/rpc"
 
-// connected is what the server answers to CONNECT before net/rpc begins.
-const connected = "200 Connected to Go RPC"
+// connectStatus is the status with which net/rpc accepts a CONNECT request.
+const connectStatus = "200 Connected to Go RPC"
 
 // Dialer opens connections to peer ports.
 type Dialer interface {
-	// DialContext opens a connection to addr; see net.Dialer.
+	// DialContext connects to addr. See net.Dialer.
 	DialContext(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Pool keeps one connection to each peer. It is safe for concurrent use.
+// Pool maintains one connection to each peer. It is safe for concurrent use.
 type Pool struct {
 	dialer Dialer
 
-	// sent and received count the bytes of all connections that the pool opened.
+	// sent and received count the bytes on all connections that the pool opened.
 	sent, received atomic.Int64
 
 	mu    sync.Mutex
 	conns map[string]*rpc.Client
 }
 
-// Traffic returns how many bytes of messages this process has sent and
-// received on the connections that it opened itself.
+// Traffic returns the number of bytes sent and received on the connections that this process
+// opened. Connections that peers opened are not included.
 func (p *Pool) Traffic() (sent, received int64) {
 	return p.sent.Load(), p.received.Load()
 }
 
-// countedConn counts what passes.
-type countedConn struct {
+// countingConn adds the bytes that are read and written to the pool's counters.
+type countingConn struct {
 	net.Conn
 	pool *Pool
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.pool.received.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.pool.sent.Add(int64(n))
 	return n, err
 }
 
-// NewPool returns a Pool that connects by d.
+// NewPool returns a Pool that opens connections with d.
 func NewPool(d Dialer) *Pool {
 	return &Pool{dialer: d, conns: map[string]*rpc.Client{}}
 }
 
-// Call calls method at addr and waits for the reply or the end of ctx. A
-// connection on which a call did not end in time is closed: a peer that is
-// frozen must not hold more calls.
+// Call calls method at addr and waits for the reply or for ctx to end. If ctx ends first, the
+// connection is closed, so that a peer that hangs cannot block further calls.
 func (p *Pool) Call(ctx context.Context, addr, method string, args, reply any) error {
 	c, err := p.client(ctx, addr)
 	if err != nil {
 		return err
 	}
-	// The answer to a call that was given up may still come and be decoded, so
-	// it must not go where the caller reads.
-	private := reflect.New(reflect.TypeOf(reply).Elem())
-	call := c.Go(method, args, private.Interface(), make(chan *rpc.Call, 1))
+	// The reply to an abandoned call may still arrive and be decoded, so it is decoded into a
+	// separate value that the caller does not access.
+	result := reflect.New(reflect.TypeOf(reply).Elem())
+	call := c.Go(method, args, result.Interface(), make(chan *rpc.Call, 1))
 	select {
 	case <-ctx.Done():
-		p.drop(addr, c)
+		p.remove(addr, c)
 		return ctx.Err()
 	case <-call.Done:
 	}
 	if call.Error == nil {
-		reflect.ValueOf(reply).Elem().Set(private.Elem())
+		reflect.ValueOf(reply).Elem().Set(result.Elem())
 	}
 	var remote rpc.ServerError
 	if call.Error != nil && !errors.As(call.Error, &remote) {
-		p.drop(addr, c)
+		p.remove(addr, c)
 	}
 	return call.Error
 }
 
+// client returns the connection to addr, which it opens if there is none.
 func (p *Pool) client(ctx context.Context, addr string) (*rpc.Client, error) {
 	p.mu.Lock()
 	c := p.conns[addr]
@@ -125,19 +125,19 @@
 	if err != nil {
 		return nil, err
 	}
-	conn = &countedConn{Conn: conn, pool: p}
+	conn = &countingConn{Conn: conn, pool: p}
 	if deadline, ok := ctx.Deadline(); ok {
-		_ = conn.SetDeadline(deadline) // the handshake fails where this does
+		_ = conn.SetDeadline(deadline) // if this fails, so does the handshake
 	}
 	if err := handshake(conn); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	_ = conn.SetDeadline(noDeadline) // the first call fails where this does
+	_ = conn.SetDeadline(noDeadline) // if this fails, so does the first call
 	return rpc.NewClient(conn), nil
 }
 
-// handshake asks the HTTP server at the other end for net/rpc.
+// handshake switches the connection from HTTP to net/rpc with a CONNECT request.
 func handshake(conn net.Conn) error {
 	if _, err := io.WriteString(conn, "CONNECT "+RPCPath+" HTTP/1.0\n\n"); err != nil {
 		return err
@@ -146,13 +146,14 @@
 	if err != nil {
 		return err
 	}
-	if resp.Status != connected {
-		return fmt.Errorf("peerconn: unexpected answer %q", resp.Status)
+	if resp.Status != connectStatus {
+		return fmt.Errorf("peerconn: unexpected status %q for CONNECT %s", resp.Status, RPCPath)
 	}
 	return nil
 }
 
-func (p *Pool) drop(addr string, c *rpc.Client) {
+// remove removes c from the pool and closes it.
+func (p *Pool) remove(addr string, c *rpc.Client) {
 	p.mu.Lock()
 	if p.conns[addr] == c {
 		delete(p.conns, addr)
--- a/peerconn/server.go
+++ b/peerconn/server.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// noDeadline takes a deadline off a connection.
+// noDeadline clears the deadline of a connection.
 var noDeadline = time.Time{}
 
-// NewMux returns a mux that serves the methods of each receiver under its name, by
-// net/rpc at RPCPath.
+// NewMux returns a mux that serves net/rpc at RPCPath. The keys of receivers are the service
+// names.
 func NewMux(receivers map[string]any) (*http.ServeMux, error) {
 	s := rpc.NewServer()
 	for name, receiver := range receivers {
