--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -1,9 +1,9 @@
-// Package exchange carries chunks and manifests between VMs: news of chunks over
-// net/rpc, the chunks themselves over HTTP.
+// Package exchange transfers chunks and manifests between VMs. Manifests and announcements of
+// chunks are sent over net/rpc, the chunks themselves over HTTP.
 //
-// Sets owns what a VM holds for others. A Server relies on Holdings and bounds how
-// much it sends at once; a Client relies on the connections of package peerconn.
-// message.go has what is on the wire.
+// Sets stores the chunks that a VM can send to others. A Server sends chunks from Holdings and
+// limits concurrent transfers. A Client uses the connections of package peerconn. The messages
+// are defined in message.go.
 package exchange
 
 import (
@@ -19,43 +19,45 @@
 	"github.com/silverdeck/silverdeck/weights"
 )
 
-// Service is the net/rpc name of the methods that agents call on each other.
+// Service is the net/rpc service name of Server.
 const Service = "X"
 
-// Paths on an agent's peer port.
+// HTTP paths on the peer port.
 const (
 	chunkPath   = "/chunks/"
 	WeightsPath = "/weights/"
 )
 
-// Timing of the exchange.
+// Timeouts and delays.
 const (
-	// haveWait is how long a request for news may wait.
-	haveWait = time.Second
-	// haveCoalesce is how long news is coalesced before it is told.
-	haveCoalesce = 450 * time.Millisecond
-	// writeLimit is how long a chunk may take to be taken off our hands.
-	writeLimit = 30 * time.Second
+	// havePollTimeout is how long a Have call waits for new chunks.
+	havePollTimeout = time.Second
+	// defaultCoalescing is how long announcements of new chunks are coalesced before they are
+	// sent.
+	defaultCoalescing = 450 * time.Millisecond
+	// chunkWriteTimeout limits the time for sending a chunk.
+	chunkWriteTimeout = 30 * time.Second
 )
 
-// Holdings is where the server finds what this agent holds.
+// Holdings provides the chunk sets that a Server sends from.
 type Holdings interface {
-	// Set returns the set of chunks of root, or nil.
+	// Set returns the chunk set of root, or nil.
 	Set(root weights.Digest) *weights.Set
-	// Reading returns whether chunk i of root is being read from the origin now.
+	// Reading reports whether chunk i of root is currently being read from the origin.
 	Reading(root weights.Digest, i int) bool
 }
 
-// Client is a swarm.Transport. It is safe for concurrent use.
+// Client implements swarm.Transport. It is safe for concurrent use.
 type Client struct {
 	pool *peerconn.Pool
 	http *http.Client
-	base string
+	// urlPrefix is the scheme and "://".
+	urlPrefix string
 }
 
 // NewClient returns a Client. scheme is http or https.
 func NewClient(pool *peerconn.Pool, c *http.Client, scheme string) *Client {
-	return &Client{pool: pool, http: c, base: scheme + "://"}
+	return &Client{pool: pool, http: c, urlPrefix: scheme + "://"}
 }
 
 // Have implements swarm.Transport.
@@ -67,7 +69,7 @@
 
 // Chunk implements swarm.Transport.
 func (c *Client) Chunk(ctx context.Context, m swarm.Member, root weights.Digest, i int) ([]byte, error) {
-	url := c.base + m.Addr + chunkPath + root.String() + "/" + strconv.Itoa(i)
+	url := c.urlPrefix + m.Addr + chunkPath + root.String() + "/" + strconv.Itoa(i)
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
@@ -86,17 +88,17 @@
 	case http.StatusServiceUnavailable:
 		return nil, &swarm.RefusalError{Refusal: swarm.RefusalBusy}
 	default:
-		return nil, fmt.Errorf("exchange: status %s", resp.Status)
+		return nil, fmt.Errorf("exchange: chunk %d from %s: unexpected status %s", i, m.Addr, resp.Status)
 	}
 	if resp.ContentLength < 0 || resp.ContentLength > weights.MaxChunkSize {
-		return nil, fmt.Errorf("exchange: chunk of %d bytes", resp.ContentLength)
+		return nil, fmt.Errorf("exchange: chunk %d from %s: content length %d, want 0 to %d", i, m.Addr, resp.ContentLength, weights.MaxChunkSize)
 	}
 	b := make([]byte, resp.ContentLength)
 	_, err = io.ReadFull(resp.Body, b)
 	return b, err
 }
 
-// Manifest asks the agent at addr for the manifest of root, and checks it.
+// Manifest requests the manifest of root from the peer at addr and checks it.
 func (c *Client) Manifest(ctx context.Context, addr string, root weights.Digest) (*weights.Manifest, error) {
 	var reply ManifestReply
 	if err := c.pool.Call(ctx, addr, Service+".Manifest", ManifestRequest{Root: root}, &reply); err != nil {
@@ -105,7 +107,7 @@
 	return CheckManifest(reply.Manifest, root)
 }
 
-// CheckManifest returns the manifest in b if it is the one that root names.
+// CheckManifest decodes a manifest and checks that its root is the given one.
 func CheckManifest(b []byte, root weights.Digest) (*weights.Manifest, error) {
 	m, err := weights.ParseManifest(b)
 	if err != nil {
--- a/exchange/message.go
+++ b/exchange/message.go
@@ -2,25 +2,26 @@
 
 import "github.com/silverdeck/silverdeck/weights"
 
-// What follows is sent by net/rpc: names of types and fields are on the wire.
+// The types below are sent over net/rpc, so that the names of types and fields are part of the
+// wire format.
 
-// HaveRequest asks an agent for the chunks that it got after the first Since.
+// HaveRequest requests the indices of the chunks that arrived at a peer after the first Since.
 type HaveRequest struct {
 	Root  weights.Digest
 	Since int
 }
 
-// HaveReply lists chunks in order of arrival.
+// HaveReply lists the indices of chunks in order of arrival.
 type HaveReply struct {
 	Chunks []int
 }
 
-// ManifestRequest asks an agent for a manifest.
+// ManifestRequest requests a manifest.
 type ManifestRequest struct {
 	Root weights.Digest
 }
 
-// ManifestReply has the manifest as JSON, or nothing.
+// ManifestReply contains the manifest as JSON. It is empty if the peer does not have the manifest.
 type ManifestReply struct {
 	Manifest []byte
 }
--- a/exchange/server.go
+++ b/exchange/server.go
@@ -12,52 +12,55 @@
 	"github.com/silverdeck/silverdeck/weights"
 )
 
-// defaultQueue is how many requests may wait for each upload slot.
-const defaultQueue = 4
+// defaultQueueLength is the default number of requests that may wait for each upload slot.
+const defaultQueueLength = 4
 
-// Server answers other agents, and the engine beside this one.
+// Server serves chunks and manifests to peers, and complete weights to the engine on the same
+// VM.
 type Server struct {
-	held  Holdings
-	slots chan struct{}
+	holdings Holdings
+	slots    chan struct{}
+	// queue has capacity for the requests that wait and for those that hold an upload slot.
 	queue chan struct{}
-	// waiting is how many requests may wait for each upload slot; queue has room for these
-	// and for those that are sent.
+	// waiting is the number of requests that may wait for each upload slot.
 	waiting int
-	// coalesce is how long news is coalesced before it is told.
-	coalesce time.Duration
-	// pace bounds the bytes that are sent; nil means no bound.
-	pace *rate.Limiter
+	// coalescing is how long announcements of new chunks are coalesced before they are sent.
+	coalescing time.Duration
+	// limiter limits the bytes sent per second. It is nil if there is no limit.
+	limiter *rate.Limiter
 }
 
-// ServerOption changes a Server.
+// ServerOption configures a Server.
 type ServerOption func(*Server)
 
-// WithCoalescing sets how long news of chunks is coalesced before it is told.
+// WithCoalescing sets how long announcements of new chunks are coalesced before they are sent.
 func WithCoalescing(d time.Duration) ServerOption {
-	return func(s *Server) { s.coalesce = d }
+	return func(s *Server) { s.coalescing = d }
 }
 
-// WithQueue sets how many requests may wait for each upload slot. More are refused.
+// WithQueue sets the number of requests that may wait for each upload slot. Further requests
+// are rejected.
 func WithQueue(waiting int) ServerOption {
 	return func(s *Server) { s.waiting = waiting }
 }
 
-// paceSlice is how many bytes are sent at once under a pace: little enough not
-// to hold up what else the link carries.
-const paceSlice = 4 << 10
+// paceBurst is the number of bytes written at a time when the rate is limited. It is small so
+// that other traffic on the link is not delayed.
+const paceBurst = 4 << 10
 
-// WithPace bounds what is sent to bytesPerSecond.
+// WithPace limits the rate at which chunks are sent to bytesPerSecond.
 func WithPace(bytesPerSecond float64) ServerOption {
-	return func(s *Server) { s.pace = rate.NewLimiter(rate.Limit(bytesPerSecond), paceSlice) }
+	return func(s *Server) { s.limiter = rate.NewLimiter(rate.Limit(bytesPerSecond), paceBurst) }
 }
 
-// NewServer returns a Server of what held has, that sends slots chunks at once.
-func NewServer(held Holdings, slots int, opts ...ServerOption) *Server {
+// NewServer returns a Server that sends chunks from holdings, at most slots of them
+// concurrently.
+func NewServer(holdings Holdings, slots int, opts ...ServerOption) *Server {
 	s := &Server{
-		held:     held,
-		slots:    make(chan struct{}, slots),
-		waiting:  defaultQueue,
-		coalesce: haveCoalesce,
+		holdings:   holdings,
+		slots:      make(chan struct{}, slots),
+		waiting:    defaultQueueLength,
+		coalescing: defaultCoalescing,
 	}
 	for _, o := range opts {
 		o(s)
@@ -66,40 +69,41 @@
 	return s
 }
 
-// Register adds the server's paths to mux.
+// Register adds the HTTP handlers of the server to mux.
 func (s *Server) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+chunkPath+"{root}/{chunk}", s.serveChunk)
 	mux.HandleFunc("GET "+WeightsPath+"{root}", s.serveWeights)
 }
 
-// Have is the net/rpc method behind Client.Have.
-func (s *Server) Have(q HaveRequest, reply *HaveReply) error {
-	set := s.held.Set(q.Root)
+// Have is the net/rpc method called by Client.Have. It waits for new chunks if there are none.
+// Replies without chunks are delayed because clients repeat the call immediately.
+func (s *Server) Have(req HaveRequest, reply *HaveReply) error {
+	set := s.holdings.Set(req.Root)
 	if set == nil {
-		time.Sleep(haveWait / 4)
+		time.Sleep(havePollTimeout / 4)
 		return nil
 	}
-	chunks, more := set.Since(q.Since)
+	chunks, arrived := set.Since(req.Since)
 	if len(chunks) == 0 && !set.Complete() {
-		t := time.NewTimer(haveWait)
+		t := time.NewTimer(havePollTimeout)
 		defer t.Stop()
 		select {
-		case <-more:
-			time.Sleep(s.coalesce)
+		case <-arrived:
+			time.Sleep(s.coalescing)
 		case <-t.C:
 		}
-		chunks, _ = set.Since(q.Since)
+		chunks, _ = set.Since(req.Since)
 	}
 	if len(chunks) == 0 && set.Complete() {
-		time.Sleep(haveWait)
+		time.Sleep(havePollTimeout)
 	}
 	reply.Chunks = chunks
 	return nil
 }
 
-// Manifest is the net/rpc method behind Client.Manifest.
-func (s *Server) Manifest(q ManifestRequest, reply *ManifestReply) error {
-	set := s.held.Set(q.Root)
+// Manifest is the net/rpc method called by Client.Manifest.
+func (s *Server) Manifest(req ManifestRequest, reply *ManifestReply) error {
+	set := s.holdings.Set(req.Root)
 	if set == nil {
 		return nil
 	}
@@ -108,6 +112,7 @@
 	return err
 }
 
+// serveChunk sends a chunk to a peer.
 func (s *Server) serveChunk(w http.ResponseWriter, r *http.Request) {
 	root, err := weights.ParseDigest(r.PathValue("root"))
 	if err != nil {
@@ -119,57 +124,62 @@
 		http.Error(w, "bad chunk number", http.StatusBadRequest)
 		return
 	}
-	b := s.find(root, i)
+	b := s.chunk(root, i)
 	if b == nil {
 		http.Error(w, "absent", s.absentStatus(root, i))
 		return
 	}
-	if !s.enter(r) {
+	if !s.acquireSlot(r) {
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
-	defer s.leave()
-	// Where the other side is gone, this and what follows fail; it asks elsewhere.
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeLimit))
+	defer s.releaseSlot()
+	// If the peer is gone, this and the following calls fail. The errors are ignored because the
+	// peer requests the chunk elsewhere.
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(chunkWriteTimeout))
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	s.send(w, r, b)
 }
 
-// send writes b at the server's pace.
+// send writes b to w at no more than the configured rate.
 func (s *Server) send(w http.ResponseWriter, r *http.Request, b []byte) {
-	if s.pace == nil {
+	if s.limiter == nil {
 		_, _ = w.Write(b)
 		return
 	}
-	out := http.NewResponseController(w)
-	for slice := range slices.Chunk(b, paceSlice) {
-		if err := s.pace.WaitN(r.Context(), len(slice)); err != nil {
+	controller := http.NewResponseController(w)
+	for part := range slices.Chunk(b, paceBurst) {
+		if err := s.limiter.WaitN(r.Context(), len(part)); err != nil {
 			return
 		}
-		if _, err := w.Write(slice); err != nil {
+		if _, err := w.Write(part); err != nil {
 			return
 		}
-		_ = out.Flush()
+		_ = controller.Flush()
 	}
 }
 
-func (s *Server) find(root weights.Digest, i int) []byte {
-	set := s.held.Set(root)
+// chunk returns chunk i of root, or nil if it is not held.
+func (s *Server) chunk(root weights.Digest, i int) []byte {
+	set := s.holdings.Set(root)
 	if set == nil {
 		return nil
 	}
 	return set.Get(i)
 }
 
+// absentStatus returns the HTTP status for a chunk that is not held. The status tells the peer
+// whether the chunk is being read from the origin here.
 func (s *Server) absentStatus(root weights.Digest, i int) int {
-	if s.held.Reading(root, i) {
+	if s.holdings.Reading(root, i) {
 		return http.StatusTooEarly
 	}
 	return http.StatusNotFound
 }
 
-// enter waits for an upload slot, or returns false when too many wait already.
-func (s *Server) enter(r *http.Request) bool {
+// acquireSlot waits for an upload slot. It returns false if the queue is full or the request is
+// canceled.
+func (s *Server) acquireSlot(r *http.Request) bool {
 	select {
 	case s.queue <- struct{}{}:
 	default:
@@ -184,23 +194,24 @@
 	}
 }
 
-func (s *Server) leave() {
+// releaseSlot releases an upload slot and its place in the queue.
+func (s *Server) releaseSlot() {
 	<-s.slots
 	<-s.queue
 }
 
-// serveWeights gives the complete weights to the engine on this VM.
+// serveWeights sends the complete weights to the engine on this VM.
 func (s *Server) serveWeights(w http.ResponseWriter, r *http.Request) {
 	root, err := weights.ParseDigest(r.PathValue("root"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	set := s.held.Set(root)
+	set := s.holdings.Set(root)
 	if set == nil || !set.Complete() {
 		http.Error(w, "not complete", http.StatusNotFound)
 		return
 	}
 	w.Header().Set("Content-Length", strconv.FormatInt(set.Manifest().Size, 10))
-	_, _ = set.WriteTo(w) // an engine that is gone asks again
+	_, _ = set.WriteTo(w) // an engine that lost the connection repeats the request
 }
--- a/exchange/server_test.go
+++ b/exchange/server_test.go
@@ -17,18 +17,19 @@
 
 const (
 	chunkSize = 16 << 10
-	// chunkTime is what a chunk takes at the pace of the server.
+	// chunkTime is the time to send a chunk at the rate limit of the server.
 	chunkTime = 40 * time.Millisecond
 )
 
-// upload is how a request for a chunk was answered, and after how long.
-type upload struct {
-	status int
-	took   time.Duration
+// result is the status of the response to a chunk request and the time until it was complete.
+type result struct {
+	status  int
+	elapsed time.Duration
 }
 
-// ask lets n requests for different chunks come to a server at once.
-func ask(t *testing.T, n int, opts ...exchange.ServerOption) []upload {
+// requestChunks sends n concurrent requests for different chunks to a server with one upload
+// slot.
+func requestChunks(t *testing.T, n int, opts ...exchange.ServerOption) []result {
 	data := make([]byte, n*chunkSize)
 	for i := range data {
 		data[i] = byte(i / chunkSize)
@@ -47,51 +48,51 @@
 	opts = append(opts, exchange.WithPace(chunkSize/chunkTime.Seconds()))
 	mux := http.NewServeMux()
 	exchange.NewServer(sets, 1, opts...).Register(mux)
-	out := make([]upload, n)
+	out := make([]result, n)
 	var group sync.WaitGroup
 	for i := range n {
 		group.Go(func() {
-			began := time.Now()
+			start := time.Now()
 			w := httptest.NewRecorder()
 			r := httptest.NewRequest(http.MethodGet, "/chunks/"+set.Root().String()+"/"+string(rune('0'+i)), nil)
 			mux.ServeHTTP(w, r)
-			out[i] = upload{w.Code, time.Since(began)}
+			out[i] = result{w.Code, time.Since(start)}
 		})
 	}
 	group.Wait()
 	return out
 }
 
-// A chunk that is sent alone is whole elsewhere after its own time on the link, and who would
-// wait long learns at once that it has to ask elsewhere.
+// Guards against chunks that share the link, all of which then arrive late, and against peers
+// that wait in a long queue instead of being rejected immediately and asking another peer.
 func TestChunksAreSentOneAfterTheOtherAndFewWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		var took []time.Duration
-		refused := 0
-		for _, u := range ask(t, 5, exchange.WithQueue(2)) {
-			if u.status == http.StatusServiceUnavailable {
-				refused++
-				g.Expect(u.took).To(BeZero())
+		var sent []time.Duration
+		rejected := 0
+		for _, r := range requestChunks(t, 5, exchange.WithQueue(2)) {
+			if r.status == http.StatusServiceUnavailable {
+				rejected++
+				g.Expect(r.elapsed).To(BeZero())
 				continue
 			}
-			g.Expect(u.status).To(Equal(http.StatusOK))
-			took = append(took, u.took)
+			g.Expect(r.status).To(Equal(http.StatusOK))
+			sent = append(sent, r.elapsed)
 		}
-		g.Expect(refused).To(Equal(2))
-		g.Expect(took).To(ContainElement(BeNumerically("<=", chunkTime)))
-		g.Expect(took).To(HaveEach(BeNumerically("<=", 3*chunkTime)))
+		g.Expect(rejected).To(Equal(2))
+		g.Expect(sent).To(ContainElement(BeNumerically("<=", chunkTime)))
+		g.Expect(sent).To(HaveEach(BeNumerically("<=", 3*chunkTime)))
 	})
 }
 
-func TestWithoutASettingFourWait(t *testing.T) {
+func TestFourRequestsWaitByDefault(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		refused := 0
-		for _, u := range ask(t, 7) {
-			if u.status == http.StatusServiceUnavailable {
-				refused++
+		rejected := 0
+		for _, r := range requestChunks(t, 7) {
+			if r.status == http.StatusServiceUnavailable {
+				rejected++
 			}
 		}
-		NewWithT(t).Expect(refused).To(Equal(2))
+		NewWithT(t).Expect(rejected).To(Equal(2))
 	})
 }
--- a/exchange/sets.go
+++ b/exchange/sets.go
@@ -7,16 +7,16 @@
 	"github.com/silverdeck/silverdeck/weights"
 )
 
-// Sets implements Holdings: the sets of chunks that a VM holds, by root, each with
-// the download that fills it. What is dropped, and when, is its owner's to decide.
-// It is safe for concurrent use.
+// Sets implements Holdings. It stores the chunk sets of a VM by root, along with the download
+// of each set. It evicts nothing by itself; that is left to the caller. It is safe for
+// concurrent use.
 type Sets struct {
 	mu        sync.RWMutex
 	sets      map[weights.Digest]*weights.Set
 	downloads map[weights.Digest]*swarm.Download
 }
 
-// NewSets returns empty Sets.
+// NewSets returns Sets without any set.
 func NewSets() *Sets {
 	return &Sets{sets: map[weights.Digest]*weights.Set{}, downloads: map[weights.Digest]*swarm.Download{}}
 }
@@ -34,8 +34,8 @@
 	return d != nil && d.Reading(i)
 }
 
-// Add returns the set of the version that m lists, and whether it was added just
-// now, empty.
+// Add returns the set of the version with manifest m. If there is none, it adds an empty set
+// and returns true for added.
 func (s *Sets) Add(m *weights.Manifest) (set *weights.Set, added bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +48,7 @@
 	return set, true
 }
 
-// Remove forgets a set and its download.
+// Remove removes the set of root and its download.
 func (s *Sets) Remove(root weights.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,21 +56,21 @@
 	delete(s.downloads, root)
 }
 
-// SetDownload notes who fills the set of root.
+// SetDownload sets the download of the set of root.
 func (s *Sets) SetDownload(root weights.Digest, d *swarm.Download) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.downloads[root] = d
 }
 
-// Download returns who fills the set of root, or nil.
+// Download returns the download of the set of root, or nil.
 func (s *Sets) Download(root weights.Digest) *swarm.Download {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.downloads[root]
 }
 
-// Bytes returns the size of all sets, complete or not.
+// Bytes returns the total size of all sets, counting incomplete sets at their full size.
 func (s *Sets) Bytes() int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
