--- a/compat/decisions_test.go
+++ b/compat/decisions_test.go
@@ -118,7 +118,7 @@
 				t.Errorf("no function %s: %s", m[1], cells[1])
 			}
 		}
-		if len(cells) > 7 {
+		if len(cells) >= 7 {
 			for _, m := range inCode.FindAllStringSubmatch(cells[columnConstants], -1) {
 				if !s.declared[m[1]] {
 					t.Errorf("no constant %s: %s", m[1], cells[1])
