--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -92,7 +92,7 @@
 	versionsRead atomic.Bool
 
 	// suspension tells when the VM was suspended. Only the Beater's goroutine uses it.
-	suspension *suspend.Watch
+	suspension *suspend.Detector
 	// dealt is from what endpoints were last dealt out. Only the Beater's goroutine uses it.
 	dealt dealt
 
@@ -116,7 +116,7 @@
 		self:     newEntry(cfg),
 		peers:    peerconn.NewPool(&net.Dialer{Timeout: namingLimit}),
 
-		suspension: suspend.NewWatch(suspend.SystemClocks),
+		suspension: suspend.NewDetector(suspend.SystemClocks),
 
 		namingsWanted: make(chan struct{}, 1),
 	}
@@ -139,7 +139,7 @@
 	})
 	g.proxy = g.newProxy()
 	g.syncer = replica.New(g.table, l)
-	g.inventory = inventory.NewServer(g.describeService, g.versions.Told)
+	g.inventory = inventory.NewServer(g.describeService, g.versions.WithKnownTime)
 	g.mirrors = g.newMirrors()
 	g.syncer.Use(g.mirrors, platform.KindMembers)
 	return g
@@ -181,7 +181,7 @@
 		Log:          g.log,
 		MinVersion:   g.minVersion,
 		Newest:       g.versions.Latest,
-		WeightsEnd:   g.versions.End,
+		WeightsEnd:   g.versions.Deadline,
 		ReadAdvisory: platform.ReadAdvisory,
 		AskToken:     g.askToken,
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -104,11 +104,11 @@
 	ask := func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		return pool.Call(ctx, cfg.Peer, inventory.Method, inventory.Query{Service: "llm", Wait: time.Second}, &inv)
+		return pool.Call(ctx, cfg.Peer, inventory.MethodGet, inventory.Query{Service: "llm", Wait: time.Second}, &inv)
 	}
 	g.Eventually(ask, patience).Should(Succeed())
 	g.Expect(inv.Versions).To(Equal([]inventory.Version{{Model: "m", Version: 2}}))
-	g.Expect(inv.FromConfig()).To(Equal(inventory.FromConfig{Models: []string{"m"}, Origin: "10.9.0.1:80", OriginMbps: 15}))
+	g.Expect(inv.ServiceConfig()).To(Equal(inventory.ServiceConfig{Models: []string{"m"}, Origin: "10.9.0.1:80", OriginMbps: 15}))
 	g.Expect(inv.Members[0].Addr).To(Equal("10.0.0.1:7003"))
 	g.Expect(inv.Entries).To(Equal([]inventory.Place{{Addr: cfg.Peer, Zone: "a"}}))
 }
--- a/gateway/learn.go
+++ b/gateway/learn.go
@@ -15,7 +15,7 @@
 	pause := time.Duration(n.PauseMS) * time.Millisecond
 	g.log.Info("notice", "addr", n.Addr, "born", n.Born, "pauseMs", n.PauseMS, "model", n.Model, "version", n.Version)
 	if n.Version != 0 {
-		g.loads.End(roster.VM(n.Addr))
+		g.loads.Release(roster.VM(n.Addr))
 	}
 	g.balancer.Announce(balance.Announcement{
 		Addr:        n.Addr,
@@ -45,7 +45,7 @@
 	g.callers.SetLimits(ConnectionLimits(config.Limits))
 	g.proxy.Use(config)
 	g.log.Info("configuration in force", "version", config.Version, "revision", config.Revision)
-	g.inventory.Announce()
+	g.inventory.Broadcast()
 }
 
 // useEndpoints puts a list of endpoints in force.
@@ -71,7 +71,7 @@
 		}
 		if g.noteVersion(v.Model, v.Version, found) {
 			g.log.Info("version named", "model", v.Model, "version", v.Version, "revision", stored.Revision, "found", found)
-			g.inventory.Announce()
+			g.inventory.Broadcast()
 			g.wantNamings()
 		}
 	}
@@ -81,7 +81,7 @@
 // whether it is the newest.
 func (g *Gateway) noteVersion(model string, version int64, found bool) bool {
 	if found {
-		return g.versions.Find(model, version, time.Now())
+		return g.versions.AddExisting(model, version, time.Now())
 	}
 	return g.versions.Add(model, version, time.Now())
 }
--- a/gateway/namings.go
+++ b/gateway/namings.go
@@ -88,18 +88,18 @@
 	peer := live[rand.IntN(len(live))]
 	ctx, cancel := context.WithTimeout(ctx, namingLimit)
 	defer cancel()
-	namings, err := inventory.AskNamings(ctx, g.peers, peer.Peer)
+	namings, err := inventory.FetchNamings(ctx, g.peers, peer.Peer)
 	if err != nil {
 		g.log.Debug("no namings from another entry", "peer", peer.Peer, "err", err)
 		return
 	}
 	for _, n := range namings {
-		if earlier := g.versions.Correct(n); earlier >= namingNews {
+		if earlier := g.versions.MergeReported(n); earlier >= namingNews {
 			g.log.Info("version named earlier", "model", n.Model, "version", n.Version,
 				"peer", peer.Peer, "byMs", earlier.Milliseconds())
 		}
 	}
-	if versions.Cover(namings, g.versions.Newest()) {
+	if versions.ContainsAll(namings, g.versions.Newest()) {
 		answered[peer.Name] = true
 	}
 }
@@ -115,7 +115,7 @@
 		return
 	}
 	for _, n := range g.versions.Newest() {
-		if n.Found && !n.Due && list.HeldByMost(n.Model, n.Version) {
+		if n.TimeUnknown && !n.Required && list.HeldByMost(n.Model, n.Version) {
 			g.versions.Require(n.Model, n.Version)
 			g.log.Info("found version required", "model", n.Model, "version", n.Version)
 		}
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -82,7 +82,7 @@
 	var out []shownVersion
 	for _, n := range g.versions.Newest() {
 		out = append(out, shownVersion{Model: n.Model, Version: n.Version, AgeMS: time.Since(n.At).Milliseconds(),
-			Found: n.Found, Required: g.minVersion(n.Model)})
+			Found: n.TimeUnknown, Required: g.minVersion(n.Model)})
 	}
 	return out
 }
@@ -131,7 +131,7 @@
 		return
 	}
 	g.log.Warn("suspended", "forMs", d.Milliseconds())
-	g.versions.Suspended(d)
+	g.versions.AdjustForSuspension(d)
 }
 
 // prefer deals out the endpoints anew where they or the gateways have changed: with 1,900
@@ -170,7 +170,7 @@
 	places := g.balancer.Places(&balance.Query{Service: service, Model: model, MinVersion: g.minVersion(model)}, time.Now())
 	out := make([]leases.Endpoint, 0, len(places))
 	for _, p := range places {
-		out = append(out, leases.Endpoint{VM: roster.VM(p.Addr), Slots: p.Slots, InFlight: p.InFlight, Away: !p.Usable})
+		out = append(out, leases.Endpoint{VM: roster.VM(p.Addr), Slots: p.Slots, InFlight: p.InFlight, Unavailable: !p.Usable})
 	}
 	return out
 }
@@ -182,8 +182,8 @@
 	if config == nil || list == nil || g.mirrors[platform.KindVersions].State().Revision == 0 {
 		return nil
 	}
-	k := &inventory.Known{
-		Config:    inventory.ReadConfig(config, service),
+	k := &inventory.FleetState{
+		Config:    inventory.ServiceConfigFrom(config, service),
 		Versions:  inventory.Newest(g.versions),
 		Endpoints: list.Endpoints,
 		PeerPort:  g.cfg.PeerPort,
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -1,8 +1,8 @@
-// Package inventory is what a process beside an endpoint needs of the platform's
-// store: which weights are wanted, where they come from and who else wants them.
-// Gateways compose it from their copies of the store and tell it by net/rpc; while
-// none answers, the process composes it from the store itself. Names of types, of
-// fields and of this package are on the wire.
+// Package inventory provides the part of the platform's store that a sidecar needs: which weights
+// are wanted, where they come from and which other VMs want them. Gateways compose it from their
+// replicas of the store and serve it over net/rpc. While no gateway answers, the sidecar composes
+// it from the store itself. The names of this package, of its message types and of their fields are
+// part of the wire format.
 package inventory
 
 import (
@@ -21,28 +21,28 @@
 	"github.com/silverdeck/silverdeck/versions"
 )
 
-// Service is the net/rpc name under which gateways tell inventories.
+// Service is the net/rpc name under which gateways serve inventories.
 const Service = "Inventory"
 
-// Method is the method of Service.
-const Method = Service + ".Get"
+// MethodGet is the net/rpc name of Server.Get.
+const MethodGet = Service + ".Get"
 
-// Query asks for the inventory of a service.
+// Query requests the inventory of a service.
 type Query struct {
 	Service string
-	// Known is the digest of the last inventory; the answer comes once there is
-	// another, or after Wait.
+	// Known is the digest of the last inventory received. The reply is sent once the digest
+	// differs, or after Wait.
 	Known uint64
 	Wait  time.Duration
 }
 
-// Version is a version of a model that was named.
+// Version identifies a version of a model.
 type Version struct {
 	Model   string
 	Version int64
 }
 
-// Newest returns the newest version of each model that h knows, by model.
+// Newest returns the newest version of each model in h, ordered by model.
 func Newest(h *versions.History) []Version {
 	var out []Version
 	for _, n := range h.Newest() {
@@ -51,76 +51,75 @@
 	return out
 }
 
-// Cover returns whether namings tell of all versions of newest.
-func Cover(namings []versions.Naming, newest []Version) bool {
-	var wanted []versions.Naming
-	for _, v := range newest {
-		wanted = append(wanted, versions.Naming{Model: v.Model, Version: v.Version})
+// ContainsAll returns whether namings contains all versions in wanted.
+func ContainsAll(namings []versions.Naming, wanted []Version) bool {
+	var out []versions.Naming
+	for _, v := range wanted {
+		out = append(out, versions.Naming{Model: v.Model, Version: v.Version})
 	}
-	return versions.Cover(namings, wanted)
+	return versions.ContainsAll(namings, out)
 }
 
-// Place is where a gateway takes calls, and its availability zone.
+// Place is the RPC address of a gateway and its availability zone.
 type Place struct {
 	Addr, Zone string
 }
 
-// Inventory is what is known of the fleet of one service.
+// Inventory describes the fleet of one service.
 type Inventory struct {
-	// Digest tells inventories apart; see seal.
+	// Digest is a hash of the contents; see finalize.
 	Digest uint64
-	// Versions are the newest versions named, by model.
+	// Versions holds the newest version of each model, ordered by model.
 	Versions []Version
-	// Models are those that endpoints of the service hold from the start.
+	// Models holds the models that endpoints of the service hold from the start.
 	Models []string
-	// Origin is the address of the origin of weights, or empty, and OriginMbps
-	// the bandwidth of its link in megabits a second.
+	// Origin is the address of the origin of weights, or empty. OriginMbps is the bandwidth of
+	// its link in megabits per second.
 	Origin     string
 	OriginMbps float64
-	// Members are the VMs of the service, Entries all live gateways.
+	// Members holds the VMs of the service, Entries all live gateways.
 	Members []swarm.Member
 	Entries []Place
-	// AnswerTime is how long an endpoint of the service usually writes an answer; 0
-	// where that is not known.
+	// AnswerTime is the usual duration of an answer of an endpoint of the service, or 0 if
+	// unknown.
 	AnswerTime time.Duration
-	// Slots is how many requests an endpoint of the service runs at once; 0 where that
-	// is not known.
+	// Slots is the number of requests that an endpoint of the service runs at once, or 0 if
+	// unknown.
 	Slots int
 }
 
-// Known is what a process knows of the fleet, from which inventories are composed.
-type Known struct {
-	// Config is what the configuration tells of the service.
-	Config FromConfig
-	// Versions are the newest versions named, by model.
+// FleetState is the state of the fleet from which inventories are composed.
+type FleetState struct {
+	// Config is the configuration of the service.
+	Config ServiceConfig
+	// Versions holds the newest version of each model.
 	Versions []Version
-	// Endpoints are those of all services, by ID.
+	// Endpoints holds the endpoints of all services by ID.
 	Endpoints map[string]*roster.Endpoint
-	// Gateways are all live ones.
+	// Gateways holds all live gateways.
 	Gateways []Place
-	// PeerPort is the peer port of all VMs, Regions the region of each availability
-	// zone.
+	// PeerPort is the peer port of all VMs. Regions maps availability zones to their regions.
 	PeerPort int
 	Regions  map[string]string
 }
 
-// FromConfig is what a configuration tells of one service.
-type FromConfig struct {
-	// Models are those that its endpoints hold from the start.
+// ServiceConfig is the part of the configuration that concerns one service.
+type ServiceConfig struct {
+	// Models holds the models that its endpoints hold from the start.
 	Models []string
-	// Origin is the address of the origin of weights, or empty, and OriginMbps the
-	// bandwidth of its link in megabits a second.
+	// Origin is the address of the origin of weights, or empty. OriginMbps is the bandwidth of
+	// its link in megabits per second.
 	Origin     string
 	OriginMbps float64
-	// AnswerTime is how long an endpoint usually writes an answer, or 0.
+	// AnswerTime is the usual duration of an endpoint's answer, or 0 if unknown.
 	AnswerTime time.Duration
-	// Slots is how many requests an endpoint runs at once, or 0.
+	// Slots is the number of requests that an endpoint runs at once, or 0 if unknown.
 	Slots int
 }
 
-// ReadConfig returns what config tells of service.
-func ReadConfig(config *routes.Config, service string) FromConfig {
-	var out FromConfig
+// ServiceConfigFrom extracts the configuration of service from config.
+func ServiceConfigFrom(config *routes.Config, service string) ServiceConfig {
+	var out ServiceConfig
 	if s := config.Services[service]; s != nil && s.Engine != nil {
 		out.Models = append(out.Models, s.Engine.Models...)
 		out.AnswerTime, out.Slots = config.AnswerTime(service), s.Engine.Slots
@@ -133,13 +132,13 @@
 	return out
 }
 
-// FromConfig returns what the inventory holds of a configuration.
-func (inv *Inventory) FromConfig() FromConfig {
-	return FromConfig{Models: inv.Models, Origin: inv.Origin, OriginMbps: inv.OriginMbps, AnswerTime: inv.AnswerTime, Slots: inv.Slots}
+// ServiceConfig returns the configuration from which the inventory was composed.
+func (inv *Inventory) ServiceConfig() ServiceConfig {
+	return ServiceConfig{Models: inv.Models, Origin: inv.Origin, OriginMbps: inv.OriginMbps, AnswerTime: inv.AnswerTime, Slots: inv.Slots}
 }
 
-// Compose returns the inventory of service, sealed.
-func Compose(service string, k *Known) *Inventory {
+// Compose returns the inventory of service, with its lists sorted and its digest set.
+func Compose(service string, k *FleetState) *Inventory {
 	inv := &Inventory{
 		Versions:   k.Versions,
 		Models:     k.Config.Models,
@@ -151,16 +150,16 @@
 	}
 	for _, e := range k.Endpoints {
 		if e.Service == service {
-			inv.addEndpoint(e, k.PeerPort, k.Regions)
+			inv.addMember(e, k.PeerPort, k.Regions)
 		}
 	}
-	inv.seal()
+	inv.finalize()
 	return inv
 }
 
-// addEndpoint adds the VM of an endpoint. One whose address has no port is left
-// out: the platform's store takes only whole addresses.
-func (inv *Inventory) addEndpoint(e *roster.Endpoint, port int, regions map[string]string) {
+// addMember adds the VM of an endpoint. It skips an endpoint whose address has no port, which the
+// platform's store does not accept.
+func (inv *Inventory) addMember(e *roster.Endpoint, port int, regions map[string]string) {
 	host, _, err := net.SplitHostPort(e.Addr)
 	if err != nil {
 		return
@@ -169,13 +168,13 @@
 	inv.Members = append(inv.Members, swarm.Member{VM: addr, Addr: addr, Zone: e.Zone, Region: regions[e.Zone]})
 }
 
-// PlaceOf returns where a gateway takes calls.
+// PlaceOf returns the Place of a gateway.
 func PlaceOf(e member.Entry) Place {
 	return Place{Addr: e.Peer, Zone: e.Zone}
 }
 
-// seal brings all lists into order and sets the digest.
-func (inv *Inventory) seal() {
+// finalize sorts all lists and sets the digest.
+func (inv *Inventory) finalize() {
 	slices.SortFunc(inv.Versions, func(a, b Version) int { return cmp.Compare(a.Model, b.Model) })
 	slices.SortFunc(inv.Members, func(a, b swarm.Member) int { return cmp.Compare(a.Addr, b.Addr) })
 	inv.Members = slices.Compact(inv.Members)
--- a/inventory/server.go
+++ b/inventory/server.go
@@ -8,78 +8,75 @@
 	"github.com/silverdeck/silverdeck/versions"
 )
 
-// Limits of answers.
+// Timing of replies.
 const (
-	// maxWait is for how long an answer may wait for news. Processes beside endpoints ask
-	// for one second.
+	// maxWait is the maximum time that a reply waits for a change. Sidecars ask for one second.
 	maxWait = 2 * time.Second
-	// coalesceTime is for how long changes of members are gathered before those who wait
-	// hear them; versions and the configuration are told at once.
-	coalesceTime = 500 * time.Millisecond
-	// firstLook is how often it is looked whether enough is known to tell anything at all.
-	// After a loss of all power the weights are loaded only once a gateway has told their
-	// version: with coalesceTime here processes beside endpoints heard it 0.5 s after the
-	// gateways in the median. A look costs three comparisons.
-	firstLook = 50 * time.Millisecond
+	// coalesceInterval is the time over which changes of members are coalesced before waiting
+	// queries are answered. Changes of versions and of the configuration are reported at once.
+	coalesceInterval = 500 * time.Millisecond
+	// initialPollInterval is the interval at which a query checks whether a first inventory is
+	// available. After a power loss of the whole site, weights are loaded only once a gateway
+	// has reported their version. With coalesceInterval, sidecars received it 0.5 s after the
+	// gateways in the median. A check costs three comparisons.
+	initialPollInterval = 50 * time.Millisecond
 )
 
-// Server tells processes beside endpoints what they need of the platform's store,
-// so that they need not ask it themselves. It is served by net/rpc under Service,
-// and safe for concurrent use.
+// Server serves inventories to sidecars over net/rpc under Service, so that they need not read the
+// platform's store. It is safe for concurrent use.
 type Server struct {
-	describe func(service string) *Inventory
-	named    func() []versions.Naming
+	compose     func(service string) *Inventory
+	listNamings func() []versions.Naming
 
 	mu sync.Mutex
-	// news is closed when a version is named or the configuration changes.
-	news chan struct{}
+	// changed is closed and replaced when a version is named or the configuration changes.
+	changed chan struct{}
 }
 
-// NewServer returns a Server of what describe returns for a service: its sealed
-// inventory, or nil while too little is known. named returns the namings of which it is
-// known when they were.
-func NewServer(describe func(service string) *Inventory, named func() []versions.Naming) *Server {
-	return &Server{describe: describe, named: named, news: make(chan struct{})}
+// NewServer returns a Server. compose returns the inventory of a service, or nil while too little is
+// known. listNamings returns the namings whose time is known.
+func NewServer(compose func(service string) *Inventory, listNamings func() []versions.Naming) *Server {
+	return &Server{compose: compose, listNamings: listNamings, changed: make(chan struct{})}
 }
 
-// Announce answers those who wait.
-func (s *Server) Announce() {
+// Broadcast makes waiting queries check for a new inventory at once.
+func (s *Server) Broadcast() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-func (s *Server) awaited() <-chan struct{} {
+func (s *Server) changes() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.news
+	return s.changed
 }
 
-// ErrNotKnown answers while too little is known of a service.
-var ErrNotKnown = errors.New("inventory: nothing known yet")
+// ErrNotReady is returned while too little is known to compose an inventory.
+var ErrNotReady = errors.New("inventory: nothing known yet")
 
-// Get tells the inventory of a service once it is another than the known one,
-// or after the time that the query gives.
+// Get returns the inventory of a service as soon as its digest differs from the one in the query,
+// or after the time given there.
 func (s *Server) Get(q Query, reply *Inventory) error {
 	end := time.After(min(q.Wait, maxWait))
 	for {
-		news := s.awaited()
-		inv := s.describe(q.Service)
+		changed := s.changes()
+		inv := s.compose(q.Service)
 		if inv != nil && inv.Digest != q.Known {
 			*reply = *inv
 			return nil
 		}
-		pause := coalesceTime
+		pause := coalesceInterval
 		if inv == nil {
-			pause = firstLook
+			pause = initialPollInterval
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-time.After(pause):
 		case <-end:
 			if inv == nil {
-				return ErrNotKnown
+				return ErrNotReady
 			}
 			*reply = *inv
 			return nil
--- a/inventory/server_test.go
+++ b/inventory/server_test.go
@@ -15,13 +15,13 @@
 	"github.com/silverdeck/silverdeck/versions"
 )
 
-// known is what a gateway knows of the fleet.
-func known(version int64) *inventory.Known {
+// fleetState returns the state of a fleet as a gateway knows it.
+func fleetState(version int64) *inventory.FleetState {
 	config := routes.New(nil, nil)
 	config.Services["llm"] = &routes.Service{Engine: &routes.Engine{Models: []string{"m"}}}
 	config.Services["o"] = &routes.Service{Origin: "10.9.0.1:80", LinkMbps: 15}
-	return &inventory.Known{
-		Config:   inventory.ReadConfig(config, "llm"),
+	return &inventory.FleetState{
+		Config:   inventory.ServiceConfigFrom(config, "llm"),
 		Versions: []inventory.Version{{Model: "m", Version: version}},
 		Endpoints: map[string]*roster.Endpoint{
 			"e1": {ID: "e1", Service: "llm", Addr: "10.0.0.1:80", Zone: "a"},
@@ -33,22 +33,22 @@
 	}
 }
 
-func TestAnInventoryIsToldOnceThereIsNews(t *testing.T) {
+func TestGetReturnsOnceTheInventoryChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		var now atomic.Pointer[inventory.Known]
+		var state atomic.Pointer[inventory.FleetState]
 		s := inventory.NewServer(func(service string) *inventory.Inventory {
-			if now.Load() == nil {
+			if state.Load() == nil {
 				return nil
 			}
-			return inventory.Compose(service, now.Load())
+			return inventory.Compose(service, state.Load())
 		}, nil)
 		q := inventory.Query{Service: "llm", Wait: time.Second}
 		var inv inventory.Inventory
-		began := time.Now()
-		g.Expect(s.Get(q, &inv)).To(MatchError(inventory.ErrNotKnown))
-		g.Expect(time.Since(began)).To(Equal(time.Second))
-		now.Store(known(2))
+		start := time.Now()
+		g.Expect(s.Get(q, &inv)).To(MatchError(inventory.ErrNotReady))
+		g.Expect(time.Since(start)).To(Equal(time.Second))
+		state.Store(fleetState(2))
 		g.Expect(s.Get(q, &inv)).To(Succeed())
 		g.Expect(inv.Versions).To(Equal([]inventory.Version{{Model: "m", Version: 2}}))
 		g.Expect(inv.Models).To(Equal([]string{"m"}))
@@ -59,46 +59,45 @@
 		g.Expect(inv.Entries).To(Equal([]inventory.Place{{Addr: "m:1", Zone: "a"}}))
 		go func() {
 			time.Sleep(300 * time.Millisecond)
-			now.Store(known(3))
-			s.Announce()
+			state.Store(fleetState(3))
+			s.Broadcast()
 		}()
 		q.Known = inv.Digest
-		began = time.Now()
+		start = time.Now()
 		g.Expect(s.Get(q, &inv)).To(Succeed())
 		g.Expect(inv.Versions[0].Version).To(Equal(int64(3)))
-		g.Expect(time.Since(began)).To(Equal(300 * time.Millisecond))
+		g.Expect(time.Since(start)).To(Equal(300 * time.Millisecond))
 	})
 }
 
-// After a loss of all power processes beside endpoints asked gateways that had just started.
-// These learnt the version first and the list of endpoints last, which told nobody: the
-// question was looked at again half a second later, and the weights were loaded that much
-// later.
-func TestAFirstInventoryIsToldAsSoonAsItIsThere(t *testing.T) {
+// Guards against a delay of half a second in loading weights after a power loss of the whole site.
+// Gateways that have just started learn the version first and the list of endpoints last, and the
+// list does not wake waiting queries. They checked again only after the next interval.
+func TestAFirstInventoryIsReturnedWithoutDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		const after = 120 * time.Millisecond
-		began := time.Now()
+		const availableAfter = 120 * time.Millisecond
+		start := time.Now()
 		s := inventory.NewServer(func(service string) *inventory.Inventory {
-			if time.Since(began) < after {
+			if time.Since(start) < availableAfter {
 				return nil
 			}
-			return inventory.Compose(service, known(2))
+			return inventory.Compose(service, fleetState(2))
 		}, nil)
 		var inv inventory.Inventory
 		g.Expect(s.Get(inventory.Query{Service: "llm", Wait: time.Second}, &inv)).To(Succeed())
-		g.Expect(time.Since(began)).To(BeNumerically("<=", after+50*time.Millisecond))
+		g.Expect(time.Since(start)).To(BeNumerically("<=", availableAfter+50*time.Millisecond))
 	})
 }
 
-func TestNamingsAreToldByTheirAges(t *testing.T) {
+func TestNamingsReportsAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		history := versions.New(8 * time.Second)
-		history.Find("m", 2, time.Now())
+		history.AddExisting("m", 2, time.Now())
 		history.Add("m", 3, time.Now())
 		history.Add("n", 7, time.Now())
-		s := inventory.NewServer(nil, history.Told)
+		s := inventory.NewServer(nil, history.WithKnownTime)
 		time.Sleep(2 * time.Second)
 		var all, one inventory.NamingsReply
 		g.Expect(s.Namings(inventory.NamingsQuery{}, &all)).To(Succeed())
@@ -109,11 +108,11 @@
 	})
 }
 
-func TestWhatAnInventoryHoldsOfTheConfigurationIsKept(t *testing.T) {
+func TestServiceConfigRestoresTheConfiguration(t *testing.T) {
 	g := NewWithT(t)
-	first := known(2)
+	first := fleetState(2)
 	inv := inventory.Compose("llm", first)
-	again := known(2)
-	again.Config = inv.FromConfig()
+	again := fleetState(2)
+	again.Config = inv.ServiceConfig()
 	g.Expect(inventory.Compose("llm", again)).To(Equal(inv))
 }
--- a/leases/leases.go
+++ b/leases/leases.go
@@ -1,10 +1,10 @@
-// Package leases gives endpoints leases on a load of weights: an endpoint that holds one
-// drains and loads while the others carry its requests.
+// Package leases grants endpoints leases for loading weights. An endpoint that holds a lease
+// drains and loads while the other endpoints of the service handle its requests.
 //
-// It owns the leases of this gateway and the rule by which they are given. It relies on what
-// the caller tells of the endpoints. One gateway gives the leases of a service: the owner
-// by name. Where two gateways take themselves for it, more endpoints load at once than the
-// rule allows; nothing else depends on it.
+// The package holds the leases granted by this gateway and the rule by which they are granted.
+// The caller supplies the state of the endpoints. One gateway, selected by hashing the service
+// name, grants all leases of a service. If two gateways both consider themselves the owner, more
+// endpoints may load at once than the rule allows; nothing else depends on there being one.
 package leases
 
 import (
@@ -14,43 +14,46 @@
 	"github.com/silverdeck/silverdeck/rendezvous"
 )
 
-// Endpoint is what is known of one endpoint of a service.
+// Endpoint is the state of one endpoint of a service.
 type Endpoint struct {
-	// VM is where it runs; see roster.VM.
+	// VM is the VM on which the endpoint runs; see roster.VM.
 	VM string
-	// Slots is how many requests it runs at once, InFlight how many all gateways have there.
+	// Slots is the number of requests that the endpoint runs at once, InFlight the number that
+	// all gateways have in flight there.
 	Slots, InFlight int
-	// Away is set when it takes no requests: it is ejected, suspected or paused.
-	Away bool
+	// Unavailable is set if the endpoint is ejected, suspected or paused and so takes no
+	// requests.
+	Unavailable bool
 }
 
 const (
-	// carriedShare is the part of the slots of the endpoints that stay up to which these may
-	// be taken once they carry all requests: more wait for one another.
-	carriedShare = 0.75
-	// awayShare is the largest part of the endpoints that may be away.
-	awayShare = 0.5
+	// maxUtilization is the largest share of the remaining endpoints' slots that may be in use
+	// once these endpoints handle all requests. Above it, requests queue behind each other.
+	maxUtilization = 0.75
+	// maxUnavailableShare is the largest share of the endpoints that may be unavailable.
+	maxUnavailableShare = 0.5
 )
 
-// Grants returns whether the endpoint of vm may drain while those of held do so as well:
-// as many at once as the rest can carry. It answers a load that leaves room; under one
-// that does not, endpoints change spread over the time that they have.
-func Grants(endpoints []Endpoint, held map[string]bool, vm string) bool {
-	inFlight, slots, away := 0, 0, 0
+// CanGrant returns whether the endpoint of vm may drain while those of the VMs in held drain as
+// well. As many may drain at once as leave enough capacity for all requests. If the load leaves
+// no spare capacity, no lease is granted, and endpoints change weights without one, spread over
+// the time that they have.
+func CanGrant(endpoints []Endpoint, held map[string]bool, vm string) bool {
+	inFlight, slots, unavailable := 0, 0, 0
 	for _, e := range endpoints {
 		inFlight += e.InFlight
-		if e.VM == vm || e.Away || held[e.VM] {
-			away++
+		if e.VM == vm || e.Unavailable || held[e.VM] {
+			unavailable++
 			continue
 		}
 		slots += e.Slots
 	}
-	return float64(away) <= awayShare*float64(len(endpoints)) && float64(inFlight) <= carriedShare*float64(slots)
+	return float64(unavailable) <= maxUnavailableShare*float64(len(endpoints)) && float64(inFlight) <= maxUtilization*float64(slots)
 }
 
-// Comes returns whether a lease that was not given comes later: the others could carry the
-// requests of one endpoint, but for those that are away now.
-func Comes(endpoints []Endpoint, vm string) bool {
+// CanGrantLater returns whether a lease that was refused can be expected later: without the endpoint
+// of vm, the others could handle all requests if all of them were available.
+func CanGrantLater(endpoints []Endpoint, vm string) bool {
 	inFlight, slots := 0, 0
 	for _, e := range endpoints {
 		inFlight += e.InFlight
@@ -58,67 +61,69 @@
 			slots += e.Slots
 		}
 	}
-	return float64(inFlight) <= carriedShare*float64(slots)
+	return float64(inFlight) <= maxUtilization*float64(slots)
 }
 
 const (
-	// minAgain is the least time between two questions for one lease.
-	minAgain = 100 * time.Millisecond
-	// againEach is that time for each endpoint of the service, so that however many ask, the
-	// owner of their leases is asked 200 times a second at the most.
-	againEach = 5 * time.Millisecond
+	// minRetryInterval is the minimum time between two requests for the same lease.
+	minRetryInterval = 100 * time.Millisecond
+	// retryIntervalPerEndpoint scales the retry interval with the number of endpoints of the
+	// service, so that the owner receives at most 200 requests per second, however many
+	// endpoints there are.
+	retryIntervalPerEndpoint = 5 * time.Millisecond
 )
 
-// Again returns when an endpoint of so many asks again for a lease that it did not get.
-func Again(endpoints int) time.Duration {
-	return max(minAgain, time.Duration(endpoints)*againEach)
+// RetryAfter returns the time after which an endpoint retries a refused lease request, given the
+// number of endpoints of the service.
+func RetryAfter(endpoints int) time.Duration {
+	return max(minRetryInterval, time.Duration(endpoints)*retryIntervalPerEndpoint)
 }
 
-// Owner returns which of the gateways, by address, gives the leases of a service.
+// Owner returns the address of the gateway, among gateways, that grants the leases of a service.
 func Owner(service string, gateways []string) string {
 	return rendezvous.Choose(service, gateways)
 }
 
-// Table holds the leases that were given. It is safe for concurrent use.
+// Table holds the granted leases. It is safe for concurrent use.
 type Table struct {
 	mu sync.Mutex
-	// until is when leases run out, by service and VM.
-	until map[string]map[string]time.Time
+	// expiresAt holds the expiry of leases by service and VM.
+	expiresAt map[string]map[string]time.Time
 }
 
-// NewTable returns a Table without leases.
+// NewTable returns an empty Table.
 func NewTable() *Table {
-	return &Table{until: map[string]map[string]time.Time{}}
+	return &Table{expiresAt: map[string]map[string]time.Time{}}
 }
 
-// Begin gives the endpoint of vm a lease for d if Grants allows it. One that has a lease
-// gets it anew.
-func (t *Table) Begin(service, vm string, endpoints []Endpoint, d time.Duration, now time.Time) bool {
+// Acquire grants the endpoint of vm a lease for d if CanGrant allows it, and returns whether it
+// did. A lease that the endpoint already holds is renewed.
+func (t *Table) Acquire(service, vm string, endpoints []Endpoint, d time.Duration, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	held := map[string]bool{}
-	for other, until := range t.until[service] {
+	for other, until := range t.expiresAt[service] {
 		if now.Before(until) {
 			held[other] = true
 		} else {
-			delete(t.until[service], other)
+			delete(t.expiresAt[service], other)
 		}
 	}
-	if !Grants(endpoints, held, vm) {
+	if !CanGrant(endpoints, held, vm) {
 		return false
 	}
-	if t.until[service] == nil {
-		t.until[service] = map[string]time.Time{}
+	if t.expiresAt[service] == nil {
+		t.expiresAt[service] = map[string]time.Time{}
 	}
-	t.until[service][vm] = now.Add(d)
+	t.expiresAt[service][vm] = now.Add(d)
 	return true
 }
 
-// End ends the lease of the endpoint of vm, if it has one.
-func (t *Table) End(vm string) {
+// Release ends the lease of the endpoint of vm, if it holds one.
+func (t *Table) Release(vm string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, held := range t.until {
+	for _, held := range t.expiresAt {
 		delete(held, vm)
 	}
 }
--- a/leases/leases_test.go
+++ b/leases/leases_test.go
@@ -9,8 +9,8 @@
 	"github.com/silverdeck/silverdeck/leases"
 )
 
-// fleet returns n endpoints with 16 slots and so many requests each.
-func fleet(n, inFlight int) []leases.Endpoint {
+// newEndpoints returns n endpoints with 16 slots and inFlight requests each.
+func newEndpoints(n, inFlight int) []leases.Endpoint {
 	out := make([]leases.Endpoint, n)
 	for i := range out {
 		out[i] = leases.Endpoint{VM: string(rune('a' + i)), Slots: 16, InFlight: inFlight}
@@ -18,77 +18,77 @@
 	return out
 }
 
-// away marks the first n of the endpoints as such that take no requests.
-func away(n int, endpoints []leases.Endpoint) []leases.Endpoint {
+// withUnavailable marks the last n endpoints as unavailable.
+func withUnavailable(n int, endpoints []leases.Endpoint) []leases.Endpoint {
 	for i := range n {
-		endpoints[len(endpoints)-1-i].Away = true
+		endpoints[len(endpoints)-1-i].Unavailable = true
 	}
 	return endpoints
 }
 
-// Guards against more endpoints that drain at once than the rest can carry.
-func TestAsManyDrainAsTheRestCanCarry(t *testing.T) {
+// Guards against draining more endpoints at once than the remaining ones have capacity for.
+func TestCanGrantLeavesCapacityForAllRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		endpoints []leases.Endpoint
 		held      []string
 		want      bool
 	}{
-		"one of eight with little work":          {fleet(8, 4), nil, true},
-		"one of eight with much":                 {fleet(8, 10), nil, true},
-		"at the bound":                           {fleet(4, 9), nil, true},
-		"beyond it":                              {fleet(4, 10), nil, false},
-		"a fourth where work is little":          {fleet(8, 5), []string{"b", "c", "d"}, true},
-		"a third where work is more":             {fleet(8, 8), []string{"b", "c"}, false},
-		"not more than half, however idle":       {fleet(8, 0), []string{"b", "c", "d", "e"}, false},
-		"one that has a lease":                   {fleet(8, 0), []string{"a", "b", "c", "d"}, true},
-		"others are away without a lease":        {away(4, fleet(8, 0)), nil, false},
-		"others are away, and the rest are idle": {away(3, fleet(8, 0)), nil, true},
-		"it is the only one":                     {fleet(1, 0), nil, false},
-		"nothing is known":                       {nil, nil, true},
+		"one of eight at low load":         {newEndpoints(8, 4), nil, true},
+		"one of eight at high load":        {newEndpoints(8, 10), nil, true},
+		"at the utilization limit":         {newEndpoints(4, 9), nil, true},
+		"above the utilization limit":      {newEndpoints(4, 10), nil, false},
+		"four of eight at low load":        {newEndpoints(8, 5), []string{"b", "c", "d"}, true},
+		"three of eight at higher load":    {newEndpoints(8, 8), []string{"b", "c"}, false},
+		"five of eight while idle":         {newEndpoints(8, 0), []string{"b", "c", "d", "e"}, false},
+		"already holds a lease":            {newEndpoints(8, 0), []string{"a", "b", "c", "d"}, true},
+		"half unavailable without a lease": {withUnavailable(4, newEndpoints(8, 0)), nil, false},
+		"three unavailable, the rest idle": {withUnavailable(3, newEndpoints(8, 0)), nil, true},
+		"only endpoint":                    {newEndpoints(1, 0), nil, false},
+		"no endpoints known":               {nil, nil, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			held := map[string]bool{}
 			for _, addr := range c.held {
 				held[addr] = true
 			}
-			NewWithT(t).Expect(leases.Grants(c.endpoints, held, "a")).To(Equal(c.want))
+			NewWithT(t).Expect(leases.CanGrant(c.endpoints, held, "a")).To(Equal(c.want))
 		})
 	}
 }
 
-func TestALeaseComesWhereThereIsRoomButForThoseThatAreAway(t *testing.T) {
+func TestCanGrantLaterIgnoresUnavailability(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(leases.Comes(away(4, fleet(8, 4)), "a")).To(BeTrue())
-	g.Expect(leases.Comes(fleet(4, 9), "a")).To(BeTrue())
-	g.Expect(leases.Comes(fleet(4, 10), "a")).To(BeFalse(), "the others are too full")
-	g.Expect(leases.Comes(fleet(1, 1), "a")).To(BeFalse(), "there is no other")
+	g.Expect(leases.CanGrantLater(withUnavailable(4, newEndpoints(8, 4)), "a")).To(BeTrue())
+	g.Expect(leases.CanGrantLater(newEndpoints(4, 9), "a")).To(BeTrue())
+	g.Expect(leases.CanGrantLater(newEndpoints(4, 10), "a")).To(BeFalse(), "the other endpoints lack capacity")
+	g.Expect(leases.CanGrantLater(newEndpoints(1, 1), "a")).To(BeFalse(), "there is no other endpoint")
 }
 
-func TestALeaseEndsWithTheLoadOrRunsOut(t *testing.T) {
+func TestLeaseEndsOnReleaseOrExpiry(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	endpoints := fleet(2, 0)
+	endpoints := newEndpoints(2, 0)
 	table := leases.NewTable()
-	g.Expect(table.Begin("s", "a", endpoints, time.Second, now)).To(BeTrue())
-	g.Expect(table.Begin("s", "b", endpoints, time.Second, now)).To(BeFalse())
-	g.Expect(table.Begin("t", "b", endpoints, time.Second, now)).To(BeTrue(), "of another service")
-	table.End("a")
-	g.Expect(table.Begin("s", "b", endpoints, time.Second, now)).To(BeTrue())
-	g.Expect(table.Begin("s", "a", endpoints, time.Second, now.Add(999*time.Millisecond))).To(BeFalse())
-	g.Expect(table.Begin("s", "a", endpoints, time.Second, now.Add(time.Second))).To(BeTrue())
+	g.Expect(table.Acquire("s", "a", endpoints, time.Second, now)).To(BeTrue())
+	g.Expect(table.Acquire("s", "b", endpoints, time.Second, now)).To(BeFalse())
+	g.Expect(table.Acquire("t", "b", endpoints, time.Second, now)).To(BeTrue(), "lease of another service")
+	table.Release("a")
+	g.Expect(table.Acquire("s", "b", endpoints, time.Second, now)).To(BeTrue())
+	g.Expect(table.Acquire("s", "a", endpoints, time.Second, now.Add(999*time.Millisecond))).To(BeFalse())
+	g.Expect(table.Acquire("s", "a", endpoints, time.Second, now.Add(time.Second))).To(BeTrue())
 }
 
-// Guards against an owner that is asked the more often the more endpoints there are.
-func TestTheOwnerIsAskedTwoHundredTimesASecondAtTheMost(t *testing.T) {
+// Guards against a request rate at the owner that grows with the number of endpoints.
+func TestRetryAfterLimitsRequestsToTwoHundredPerSecond(t *testing.T) {
 	g := NewWithT(t)
 	for _, n := range []int{0, 8, 20, 120, 1900} {
-		asked := float64(n) / leases.Again(n).Seconds()
-		g.Expect(asked).To(BeNumerically("<=", 200.1))
+		rate := float64(n) / leases.RetryAfter(n).Seconds()
+		g.Expect(rate).To(BeNumerically("<=", 200.1))
 	}
-	g.Expect(leases.Again(0)).To(Equal(100 * time.Millisecond))
+	g.Expect(leases.RetryAfter(0)).To(Equal(100 * time.Millisecond))
 }
 
-func TestOneGatewayOwnsTheLeasesOfAService(t *testing.T) {
+func TestOwnerIsIndependentOfGatewayOrder(t *testing.T) {
 	g := NewWithT(t)
 	gateways := []string{"g1:1", "g2:1", "g3:1"}
 	owner := leases.Owner("s", gateways)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -124,7 +124,7 @@
 mutant "what has begun does not wait for its lease" gateway/proxy/withhold.go 's/case !c.headSent \|\| !wait/case c.headSent || !wait/' ./gateway/proxy 'TestStreamsOfCopies'
 mutant "attempts without a connection use up the route's" gateway/proxy/call.go 's/n - min\(p.unreached, maxUnreached\)/n/' ./gateway/proxy 'TestARequestThatEnds'
 mutant "a further signal ends a process" process/process.go 's/signal.Notify\(asked, syscall.SIGTERM, os.Interrupt\)/signal.Notify(asked, syscall.SIGTERM, os.Interrupt)\n\tgo func() { time.Sleep(200 * time.Millisecond); signal.Reset() }()/' ./process 'TestFurtherSignals'
-mutant "time suspended does not count" versions/versions.go 's/namings\[i\].At.Add\(-d\)/namings[i].At.Add(0 * d)/' ./versions 'TestTimeThatTheVM'
+mutant "time suspended does not count" versions/versions.go 's/namings\[i\].At.Add\(-d\)/namings[i].At.Add(0 * d)/' ./versions 'TestSuspensionCounts'
 mutant "loads that end the endpoint go on" sidecar/stage/stager.go 's/ \|\| s.leftAlone\(model, want.version\)//' ./sidecar/stage 'TestWeightsThatEnd'
 
 mutant "three chunks are sent side by side" sidecar/stage/sending.go 's/Uploads = 1/Uploads = 3/' ./sidecar/stage 'TestAVersionIsWholeEverywhereSoon'
--- a/sidecar/gateways.go
+++ b/sidecar/gateways.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// Gateways are those that hear of the endpoint's pauses and weights: the live ones, and those
-// that left a short time ago, whose last requests still run there. It is safe for concurrent
-// use.
+// Gateways holds the gateways that receive notices about the endpoint's pauses and weights: the
+// live ones and those that left a short time ago, whose last requests still run at the endpoint.
+// It is safe for concurrent use.
 type Gateways struct {
-	// keep is for how long a gateway that left is told.
-	keep time.Duration
+	// retention is the time for which a gateway that left still receives notices.
+	retention time.Duration
 
 	mu   sync.Mutex
 	live []string
-	// left is when gateways left, by address.
-	left map[string]time.Time
+	// leftAt holds the time at which gateways left, by address.
+	leftAt map[string]time.Time
 }
 
-// NewGateways returns no gateways. Those that leave are told for keep, which is as long as a
-// planned stop takes.
-func NewGateways(keep time.Duration) *Gateways {
-	return &Gateways{keep: keep, left: map[string]time.Time{}}
+// NewGateways returns Gateways without a gateway. retention is the time for which a gateway that
+// left still receives notices, which is the duration of a planned stop.
+func NewGateways(retention time.Duration) *Gateways {
+	return &Gateways{retention: retention, leftAt: map[string]time.Time{}}
 }
 
-// Use takes in which gateways are live, by address.
-func (g *Gateways) Use(addrs []string, now time.Time) {
+// SetLive replaces the addresses of the live gateways.
+func (g *Gateways) SetLive(addrs []string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, addr := range g.live {
-		g.left[addr] = now
+		g.leftAt[addr] = now
 	}
 	for _, addr := range addrs {
-		delete(g.left, addr)
+		delete(g.leftAt, addr)
 	}
 	g.live = addrs
 }
 
-// Told returns which gateways are told now, by address.
-func (g *Gateways) Told(now time.Time) []string {
+// Recipients returns the addresses of the gateways that receive a notice sent at time now.
+func (g *Gateways) Recipients(now time.Time) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := slices.Clone(g.live)
-	for addr, at := range g.left {
-		if now.Sub(at) < g.keep {
+	for addr, at := range g.leftAt {
+		if now.Sub(at) < g.retention {
 			out = append(out, addr)
 		} else {
-			delete(g.left, addr)
+			delete(g.leftAt, addr)
 		}
 	}
 	return out
--- a/sidecar/leases.go
+++ b/sidecar/leases.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// leaseLimit bounds a question for a lease: without one the endpoint changes at the time
-	// that it drew.
-	leaseLimit = 300 * time.Millisecond
-	// leaseRetry is the time before the next question where there was no answer.
-	leaseRetry = 500 * time.Millisecond
+	// leaseTimeout limits a lease request. Without a lease, the endpoint changes weights at the
+	// time that was drawn for it.
+	leaseTimeout = 300 * time.Millisecond
+	// leaseRetryInterval is the time until the next request after one without a reply.
+	leaseRetryInterval = 500 * time.Millisecond
 )
 
-// LeaseLoad implements stage.Fleet: it asks the gateway that owns the leases of the service.
+// LeaseLoad implements stage.Fleet. It requests the lease from the gateway that grants the leases of
+// the service.
 func (c *Sidecar) LeaseLoad(ctx context.Context, model string, d time.Duration) stage.Lease {
-	inv := c.fleet.known()
+	inv := c.watcher.current()
 	if inv == nil {
-		return stage.Lease{Again: leaseRetry}
+		return stage.Lease{Again: leaseRetryInterval}
 	}
-	ctx, cancel := context.WithTimeout(ctx, leaseLimit)
+	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
 	owner := leases.Owner(c.cfg.Service, gatewayAddrs(inv))
-	reply, err := leases.AskBegin(ctx, c.pool, owner, leases.LoadRequest{Service: c.cfg.Service, Model: model, VM: roster.VM(c.cfg.Endpoint), For: d})
+	reply, err := leases.RequestLease(ctx, c.pool, owner, leases.LoadRequest{Service: c.cfg.Service, Model: model, VM: roster.VM(c.cfg.Endpoint), For: d})
 	if err != nil {
-		c.log.Debug("no answer about a lease on a load", "peer", owner, "err", err)
-		return stage.Lease{Again: leaseRetry}
+		c.log.Debug("request for a load lease failed", "peer", owner, "err", err)
+		return stage.Lease{Again: leaseRetryInterval}
 	}
 	return stage.Lease{Given: reply.Given, Comes: reply.Comes, Again: reply.Again}
 }
--- a/sidecar/namings.go
+++ b/sidecar/namings.go
@@ -13,46 +13,49 @@
 )
 
 const (
-	// namingAnswers is how often gateways are to tell when the newest versions were named.
-	namingAnswers = 3
-	// namingLimit bounds one question: the way there and back over a narrow link took up to
-	// 1.3 s one way. The next inventory is asked for only after it.
-	namingLimit = 1500 * time.Millisecond
+	// minNamingAnswers is the number of replies from gateways that must contain the namings of
+	// all newest versions.
+	minNamingAnswers = 3
+	// namingTimeout limits one request. Over a narrow link, messages took up to 1.3 s one way.
+	// The next inventory query starts only after the request.
+	namingTimeout = 1500 * time.Millisecond
 )
 
-// namings learns from gateways when versions were named. It is not safe for concurrent
-// use.
-type namings struct {
+// namingTracker fetches from gateways the times at which versions were named. It is not safe for
+// concurrent use.
+type namingTracker struct {
 	pool *peerconn.Pool
 	log  *log.Logger
-	// named is called with each naming.
-	named func(versions.Naming)
-	// newest are the versions that are asked about, and answers is how many told of all.
+	// onNaming is called with each naming received.
+	onNaming func(versions.Naming)
+	// newest holds the versions whose namings are requested, answers the number of replies that
+	// contained all of them.
 	newest  []inventory.Version
 	answers int
 }
 
-// learn asks the gateway at addr, which has just told the newest versions, when they were
-// named, until enough have answered. The first may itself have heard late, or have just
-// started; it knows better once it has asked others.
-func (n *namings) learn(ctx context.Context, addr string, newest []inventory.Version) {
+// update requests the namings of the newest versions from the gateway at addr, which has just
+// reported these versions, unless enough replies were received. One reply is not enough: the
+// gateway may itself have learned of a version late or may have just started, and its times are
+// accurate only once it has queried other gateways.
+func (n *namingTracker) update(ctx context.Context, addr string, newest []inventory.Version) {
 	if !slices.Equal(n.newest, newest) {
 		n.newest, n.answers = newest, 0
 	}
-	if n.answers >= namingAnswers {
+	if n.answers >= minNamingAnswers {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, namingLimit)
+	ctx, cancel := context.WithTimeout(ctx, namingTimeout)
 	defer cancel()
-	told, err := inventory.AskNamings(ctx, n.pool, addr)
+	namings, err := inventory.FetchNamings(ctx, n.pool, addr)
 	if err != nil {
-		n.log.Debug("no namings", "peer", addr, "err", err)
+		n.log.Debug("request for the naming times of versions failed", "peer", addr, "err", err)
 		return
 	}
-	for _, t := range told {
-		n.named(t)
+	for _, t := range namings {
+		n.onNaming(t)
 	}
-	if inventory.Cover(told, newest) {
+	if inventory.ContainsAll(namings, newest) {
 		n.answers++
 	}
 }
--- a/sidecar/pause.go
+++ b/sidecar/pause.go
@@ -7,21 +7,23 @@
 	"time"
 )
 
-// Pause is the time for which gateways send the endpoint nothing, and which of them were told.
-// One that starts meanwhile has not heard of it. It is safe for concurrent use.
+// Pause is a period in which gateways send the endpoint no requests, with the set of gateways that
+// were notified of it. A gateway that starts during a pause has not been notified. Pause is safe
+// for concurrent use.
 type Pause struct {
-	mu    sync.Mutex
-	until time.Time
-	told  map[string]bool
+	mu       sync.Mutex
+	until    time.Time
+	notified map[string]bool
 }
 
-// Begin begins a pause until a time, of which the gateways at addrs are told.
+// Begin starts a pause that lasts until the given time, of which the gateways at addrs are
+// notified.
 func (p *Pause) Begin(until time.Time, addrs []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.until, p.told = until, map[string]bool{}
+	p.until, p.notified = until, map[string]bool{}
 	for _, addr := range addrs {
-		p.told[addr] = true
+		p.notified[addr] = true
 	}
 }
 
@@ -32,21 +34,21 @@
 	p.until = time.Time{}
 }
 
-// Untold returns which of the live gateways, at addrs, have yet to be told of the pause, and
-// for how long it still lasts. They count as told from then on, until they are not live any
-// more: who comes back has started anew.
-func (p *Pause) Untold(addrs []string, now time.Time) (untold []string, left time.Duration) {
+// Unnotified returns which of the live gateways, whose addresses are addrs, have not been notified
+// of the pause, and the remaining time of the pause. It counts them as notified from then on. A
+// gateway that is no longer live is forgotten, since one that returns has been restarted.
+func (p *Pause) Unnotified(addrs []string, now time.Time) (unnotified []string, remaining time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !now.Before(p.until) {
 		return nil, 0
 	}
-	maps.DeleteFunc(p.told, func(addr string, _ bool) bool { return !slices.Contains(addrs, addr) })
+	maps.DeleteFunc(p.notified, func(addr string, _ bool) bool { return !slices.Contains(addrs, addr) })
 	for _, addr := range addrs {
-		if !p.told[addr] {
-			p.told[addr] = true
-			untold = append(untold, addr)
+		if !p.notified[addr] {
+			p.notified[addr] = true
+			unnotified = append(unnotified, addr)
 		}
 	}
-	return untold, p.until.Sub(now)
+	return unnotified, p.until.Sub(now)
 }
--- a/sidecar/readstore.go
+++ b/sidecar/readstore.go
@@ -10,49 +10,50 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// readStore reads from the store what no gateway tells.
-func (f *fleet) readStore(ctx context.Context, failures int) {
-	if failures == askTries {
-		f.log.Warn("entries lost", "failures", failures)
+// readStore reads the list of gateways and the inventory from the store, for use while no gateway
+// replies.
+func (w *inventoryWatcher) readStore(ctx context.Context, failures int) {
+	if failures == maxGatewayAttempts {
+		w.log.Warn("entries lost", "failures", failures)
 	}
-	f.findGateways(ctx)
-	reply, err := f.readInventory(ctx)
+	w.loadGateways(ctx)
+	reply, err := w.readInventory(ctx)
 	if err != nil {
-		f.log.Debug("inventory not read", "err", err)
+		w.log.Debug("inventory not read from the store", "err", err)
 		return
 	}
-	f.take(reply, 0)
+	w.apply(reply, 0)
 }
 
-// readInventory composes the inventory from the store. The configuration, which is
-// large, is read only when nothing is known yet.
-func (f *fleet) readInventory(ctx context.Context) (*inventory.Inventory, error) {
-	k := &inventory.Known{PeerPort: f.cfg.PeerPort, Regions: f.cfg.Regions}
+// readInventory composes the inventory from the store. The configuration, which is large, is read
+// only if there is no inventory yet.
+func (w *inventoryWatcher) readInventory(ctx context.Context) (*inventory.Inventory, error) {
+	s := &inventory.FleetState{PeerPort: w.cfg.PeerPort, Regions: w.cfg.Regions}
 	var err error
-	if last := f.known(); last != nil {
-		k.Config = last.FromConfig()
-	} else if k.Config, err = f.readConfig(ctx); err != nil {
+	if latest := w.current(); latest != nil {
+		s.Config = latest.ServiceConfig()
+	} else if s.Config, err = w.readConfig(ctx); err != nil {
 		return nil, err
 	}
-	if k.Versions, err = f.readVersions(ctx); err != nil {
+	if s.Versions, err = w.readVersions(ctx); err != nil {
 		return nil, err
 	}
-	if k.Endpoints, err = f.readEndpoints(ctx); err != nil {
+	if s.Endpoints, err = w.readEndpoints(ctx); err != nil {
 		return nil, err
 	}
-	f.mu.Lock()
-	k.Gateways = slices.Clone(f.gateways)
-	f.mu.Unlock()
-	return inventory.Compose(f.cfg.Service, k), nil
+	w.mu.Lock()
+	s.Gateways = slices.Clone(w.gateways)
+	w.mu.Unlock()
+	return inventory.Compose(w.cfg.Service, s), nil
 }
 
-// errNoConfig tells that the store holds no configuration yet.
-var errNoConfig = errors.New("sidecar: no configuration yet")
+// errNoConfig is returned if the store holds no configuration yet.
+var errNoConfig = errors.New("sidecar: no configuration in the store")
 
-func (f *fleet) readConfig(ctx context.Context) (inventory.FromConfig, error) {
-	objects, err := f.store.ListStale(ctx, platform.KindConfig)
+func (w *inventoryWatcher) readConfig(ctx context.Context) (inventory.ServiceConfig, error) {
+	objects, err := w.store.ListStale(ctx, platform.KindConfig)
 	if err != nil {
-		return inventory.FromConfig{}, err
+		return inventory.ServiceConfig{}, err
 	}
 	for _, stored := range objects {
 		if stored.Name != platform.ConfigName {
@@ -60,15 +61,15 @@
 		}
 		config, err := platform.DecodeConfig(stored.Data)
 		if err != nil {
-			return inventory.FromConfig{}, err
+			return inventory.ServiceConfig{}, err
 		}
-		return inventory.ReadConfig(config, f.cfg.Service), nil
+		return inventory.ServiceConfigFrom(config, w.cfg.Service), nil
 	}
-	return inventory.FromConfig{}, errNoConfig
+	return inventory.ServiceConfig{}, errNoConfig
 }
 
-func (f *fleet) readVersions(ctx context.Context) ([]inventory.Version, error) {
-	objects, _, err := f.store.Source(platform.KindVersions).List(ctx)
+func (w *inventoryWatcher) readVersions(ctx context.Context) ([]inventory.Version, error) {
+	objects, _, err := w.store.Source(platform.KindVersions).List(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -76,7 +77,7 @@
 	for _, stored := range objects {
 		v, err := platform.DecodeVersion(stored.Data)
 		if err != nil {
-			f.notUsed(platform.KindVersions, stored.Name, err)
+			w.logUnusable(platform.KindVersions, stored.Name, err)
 			continue
 		}
 		out = append(out, inventory.Version{Model: v.Model, Version: v.Version})
@@ -84,8 +85,8 @@
 	return out, nil
 }
 
-func (f *fleet) readEndpoints(ctx context.Context) (map[string]*roster.Endpoint, error) {
-	objects, err := f.store.ListStale(ctx, platform.KindEndpoints)
+func (w *inventoryWatcher) readEndpoints(ctx context.Context) (map[string]*roster.Endpoint, error) {
+	objects, err := w.store.ListStale(ctx, platform.KindEndpoints)
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +94,7 @@
 	for _, stored := range objects {
 		e, err := platform.DecodeEndpoint(stored.Data)
 		if err != nil {
-			f.notUsed(platform.KindEndpoints, stored.Name, err)
+			w.logUnusable(platform.KindEndpoints, stored.Name, err)
 			continue
 		}
 		out[e.ID] = e
@@ -101,8 +102,8 @@
 	return out, nil
 }
 
-// notUsed notes a record that another writer may have left. The store is read seldom, so
-// that the lines are few.
-func (f *fleet) notUsed(kind, name string, err error) {
-	f.log.Warn("record not used", "kind", kind, "name", name, "err", err)
+// logUnusable logs a record that can't be decoded, which another writer may have left in the store.
+// The lines are not rate-limited because the store is read rarely.
+func (w *inventoryWatcher) logUnusable(kind, name string, err error) {
+	w.log.Warn("record not used", "kind", kind, "name", name, "err", err)
 }
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -1,9 +1,8 @@
-// Package sidecar is the program silverdeck-sidecar, which runs beside each endpoint
-// on the users' platform: it keeps the endpoint at the newest weights and gives
-// chunks to other VMs.
+// Package sidecar implements the program silverdeck-sidecar, which runs beside each endpoint on the
+// users' platform, keeps the endpoint at the newest weights and serves chunks to other VMs.
 //
-// It puts package stage, which does that, together with what it relies on: gateways
-// that tell which weights are wanted, the endpoint, the origin and other sidecars.
+// It connects package stage, which implements both, to the gateways that report the wanted weights,
+// the endpoint, the origin of weights and other sidecars.
 package sidecar
 
 import (
@@ -30,46 +29,46 @@
 	"github.com/silverdeck/silverdeck/versions"
 )
 
-// Settings of a sidecar.
+// Connection settings.
 const (
-	// dialLimit bounds the opening of a connection, headerLimit the head of a request.
-	dialLimit = 500 * time.Millisecond
-	// headerLimit bounds the head of a request.
-	headerLimit = 5 * time.Second
-	// idleConnections is how many connections to another sidecar are kept.
-	idleConnections = 3
+	// dialTimeout limits opening a connection.
+	dialTimeout = 500 * time.Millisecond
+	// readHeaderTimeout limits reading the headers of a request.
+	readHeaderTimeout = 5 * time.Second
+	// maxIdleConnsPerPeer is the number of idle connections kept to each other sidecar.
+	maxIdleConnsPerPeer = 3
 )
 
-// Sidecar is the process's state.
+// Sidecar is the state of the process.
 type Sidecar struct {
-	cfg      *platform.Settings
-	log      *log.Logger
-	registry metrics.Registry
-	fleet    *fleet
-	pool     *peerconn.Pool
-	stager   *stage.Stager
-	cancel   context.CancelFunc
-	servers  []*http.Server
-	notices  net.PacketConn
-	// born is when the endpoint started, as it told last.
-	born atomic.Int64
-	// gateways are told of the endpoint; pause is that for which they send it nothing.
+	cfg        *platform.Settings
+	log        *log.Logger
+	registry   metrics.Registry
+	watcher    *inventoryWatcher
+	pool       *peerconn.Pool
+	stager     *stage.Stager
+	cancel     context.CancelFunc
+	servers    []*http.Server
+	noticeConn net.PacketConn
+	// endpointStart is the start time that the endpoint reported last.
+	endpointStart atomic.Int64
+	// gateways receive notices about the endpoint. pause is the endpoint's current pause.
 	gateways *Gateways
 	pause    Pause
-	// began is set once the first inventory was taken in. Only the fleet's goroutine
+	// initialized is set once the first inventory was received. Only the goroutine of watcher
 	// uses it.
-	began bool
+	initialized bool
 }
 
 // New returns a Sidecar that is not started.
 func New(cfg *platform.Settings, l *log.Logger, registry metrics.Registry) *Sidecar {
 	c := &Sidecar{cfg: cfg, log: l, registry: registry, gateways: NewGateways(cfg.Grace)}
-	dialer := &net.Dialer{Timeout: dialLimit}
-	client := &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: idleConnections}}
+	dialer := &net.Dialer{Timeout: dialTimeout}
+	client := &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdleConnsPerPeer}}
 	pool := peerconn.NewPool(dialer)
 	c.pool = pool
-	c.fleet = newFleet(cfg, platform.NewStore(cfg.Store), pool, l, fleetHandlers{
-		use: c.useInventory, named: c.useNaming, suspended: func(d time.Duration) { c.stager.Suspended(d) },
+	c.watcher = newInventoryWatcher(cfg, platform.NewStore(cfg.Store), pool, l, watcherHandlers{
+		onInventory: c.handleInventory, onNaming: c.handleNaming, onSuspension: func(d time.Duration) { c.stager.Suspended(d) },
 	})
 	c.stager = stage.New(stage.Config{
 		Self:     selfMember(cfg),
@@ -85,7 +84,7 @@
 	return c
 }
 
-// Start begins to serve other VMs and to stage.
+// Start starts serving other VMs and staging weights.
 func (c *Sidecar) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
@@ -93,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	c.notices = conn
+	c.noticeConn = conn
 	ex := exchange.NewServer(c.stager.Holdings(), stage.Uploads,
 		exchange.WithQueue(stage.QueuedUploads), exchange.WithCoalescing(stage.Coalescing),
 		exchange.WithPace(stage.PaceShare*platform.BytesPerSecond(c.cfg.LinkMbps)))
@@ -108,7 +107,7 @@
 	if err := c.serve(c.cfg.Observe, telemetry.NewObserveHandler(c.registry, c)); err != nil {
 		return err
 	}
-	go c.fleet.run(ctx)
+	go c.watcher.run(ctx)
 	go c.stager.Run(ctx)
 	c.log.Info("started", "peer", c.cfg.Peer, "endpoint", c.cfg.Endpoint, "service", c.cfg.Service)
 	return nil
@@ -116,35 +115,36 @@
 
 // serve serves h at addr.
 func (c *Sidecar) serve(addr string, h http.Handler) error {
-	s := &http.Server{Handler: h, ReadHeaderTimeout: headerLimit}
+	s := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 	c.servers = append(c.servers, s)
 	return serve.HTTP(s, addr, c.log)
 }
 
-// firstVersion is the version of weights that stands before any is named. From the
-// platform's protocol.
-const firstVersion = 1
+// initialVersion is the version of weights before any is named, as the platform's protocol defines
+// it.
+const initialVersion = 1
 
-// useInventory wants the weights that an inventory names.
-func (c *Sidecar) useInventory(inv *inventory.Inventory) {
+// handleInventory makes the weights in an inventory wanted and notifies gateways that have not
+// received the current pause.
+func (c *Sidecar) handleInventory(inv *inventory.Inventory) {
 	now := time.Now()
-	c.gateways.Use(gatewayAddrs(inv), now)
-	first := !c.began
-	c.began = true
+	c.gateways.SetLive(gatewayAddrs(inv), now)
+	first := !c.initialized
+	c.initialized = true
 	for _, v := range inv.Versions {
 		if c.stager.Want(v.Model, v.Version, first) {
 			c.log.Info("version named", "model", v.Model, "version", v.Version, "inventory", inv.Digest, "first", first)
 		}
 	}
 	for _, model := range inv.Models {
-		c.stager.Want(model, firstVersion, true)
+		c.stager.Want(model, initialVersion, true)
 	}
-	if untold, left := c.pause.Untold(gatewayAddrs(inv), now); len(untold) > 0 {
-		c.notify(untold, member.Notice{Addr: c.cfg.Endpoint, PauseMS: left.Milliseconds()})
+	if unnotified, remaining := c.pause.Unnotified(gatewayAddrs(inv), now); len(unnotified) > 0 {
+		c.notify(unnotified, member.Notice{Addr: c.cfg.Endpoint, PauseMS: remaining.Milliseconds()})
 	}
 }
 
-// gatewayAddrs returns where the live gateways take calls and notices.
+// gatewayAddrs returns the addresses at which the live gateways receive RPCs and notices.
 func gatewayAddrs(inv *inventory.Inventory) []string {
 	addrs := make([]string, 0, len(inv.Entries))
 	for _, e := range inv.Entries {
@@ -153,22 +153,22 @@
 	return addrs
 }
 
-// useNaming takes in when a version was named.
-func (c *Sidecar) useNaming(n versions.Naming) {
+// handleNaming records when a version was named.
+func (c *Sidecar) handleNaming(n versions.Naming) {
 	c.stager.Named(n.Model, n.Version, n.At)
 }
 
-// errNoInventory tells that neither a gateway nor the store has answered yet.
-var errNoInventory = errors.New("sidecar: no inventory yet")
+// errNoInventory is returned until a gateway or the store has supplied an inventory.
+var errNoInventory = errors.New("sidecar: no inventory received yet")
 
-// selfMember returns this VM as others know it.
+// selfMember returns this VM as a member of the swarm.
 func selfMember(cfg *platform.Settings) swarm.Member {
 	return swarm.Member{VM: cfg.Peer, Addr: cfg.Peer, Zone: cfg.Zone, Region: cfg.Region}
 }
 
 // Members implements stage.Fleet.
 func (c *Sidecar) Members(context.Context) ([]swarm.Member, error) {
-	inv := c.fleet.known()
+	inv := c.watcher.current()
 	if inv == nil {
 		return nil, errNoInventory
 	}
@@ -183,7 +183,7 @@
 // Pause implements stage.Fleet.
 func (c *Sidecar) Pause(_ context.Context, d time.Duration) {
 	now := time.Now()
-	addrs := c.gateways.Told(now)
+	addrs := c.gateways.Recipients(now)
 	c.pause.Begin(now.Add(d), addrs)
 	c.notify(addrs, member.Notice{Addr: c.cfg.Endpoint, PauseMS: d.Milliseconds()})
 }
@@ -191,41 +191,41 @@
 // Loaded implements stage.Fleet.
 func (c *Sidecar) Loaded(_ context.Context, model string, version int64) {
 	c.pause.End()
-	c.notify(c.gateways.Told(time.Now()), member.Notice{Addr: c.cfg.Endpoint, Model: model, Version: version})
+	c.notify(c.gateways.Recipients(time.Now()), member.Notice{Addr: c.cfg.Endpoint, Model: model, Version: version})
 }
 
 // Started implements stage.Fleet.
 func (c *Sidecar) Started(_ context.Context, born int64, again bool) {
-	c.born.Store(born)
+	c.endpointStart.Store(born)
 	if again {
 		c.pause.End()
-		c.notify(c.gateways.Told(time.Now()), member.Notice{Addr: c.cfg.Endpoint})
+		c.notify(c.gateways.Recipients(time.Now()), member.Notice{Addr: c.cfg.Endpoint})
 	}
 }
 
 // Capacity implements stage.Fleet.
 func (c *Sidecar) Capacity() stage.Capacity {
-	inv := c.fleet.known()
+	inv := c.watcher.current()
 	if inv == nil {
 		return stage.Capacity{}
 	}
 	return stage.Capacity{Slots: inv.Slots, AnswerTime: inv.AnswerTime}
 }
 
-// notify sends n, which is of the endpoint's present life, to the gateways at addrs.
+// notify sends n to the gateways at addrs, with the start time of the running endpoint process.
 func (c *Sidecar) notify(addrs []string, n member.Notice) {
-	n.Born = c.born.Load()
-	if err := member.Notify(c.notices, addrs, n); err != nil {
-		c.log.Debug("notice not sent to all", "err", err)
+	n.Born = c.endpointStart.Load()
+	if err := member.Notify(c.noticeConn, addrs, n); err != nil {
+		c.log.Debug("notice not sent to all gateways", "err", err)
 	}
 }
 
-// errNoOrigin tells that the configuration names no origin of weights.
+// errNoOrigin is returned if the configuration names no origin of weights.
 var errNoOrigin = errors.New("sidecar: the configuration names no origin")
 
-// origin returns where the origin of weights is.
+// origin returns the address and bandwidth of the origin of weights.
 func (c *Sidecar) origin(context.Context) (platform.OriginPlace, error) {
-	inv := c.fleet.known()
+	inv := c.watcher.current()
 	switch {
 	case inv == nil:
 		return platform.OriginPlace{}, errNoInventory
@@ -242,15 +242,15 @@
 
 // State implements telemetry.Observed.
 func (c *Sidecar) State() any {
-	return c.fleet.known()
+	return c.watcher.current()
 }
 
-// Stop ends the process's work.
+// Stop closes all servers and stops the watcher and staging.
 func (c *Sidecar) Stop(context.Context) error {
 	c.log.Info("stopping")
 	c.cancel()
 	for _, s := range c.servers {
-		_ = s.Close() // nobody waits for what is still open there
+		_ = s.Close() // open connections need no graceful shutdown
 	}
-	return c.notices.Close()
+	return c.noticeConn.Close()
 }
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -25,31 +25,31 @@
 	"github.com/silverdeck/silverdeck/versions"
 )
 
-// versionLimit is when no request may begin on older weights any more. Far above what a
-// loaded machine takes for some calls.
+// versionLimit is the time after a naming from which no request may begin on older weights. It is
+// far longer than some calls take on a loaded machine.
 const versionLimit = 30 * time.Second
 
-// askedGateway answers a sidecar's questions. At first it does not know when version 2
-// was named, or believes that it was just now; then it has learned the truth.
-type askedGateway struct {
-	learned atomic.Bool
-	// atFirst is what it tells before.
-	atFirst []versions.Naming
+// fakeGateway replies to the queries of a sidecar. Until informed is set, it does not know when
+// version 2 was named, or reports that it was named just now.
+type fakeGateway struct {
+	informed atomic.Bool
+	// initialNamings holds the namings that it reports until informed is set.
+	initialNamings []versions.Naming
 }
 
-func (a *askedGateway) inventory(service string) *inventory.Inventory {
+func (a *fakeGateway) inventory(service string) *inventory.Inventory {
 	return &inventory.Inventory{Digest: 1, Versions: []inventory.Version{{Model: "m", Version: 2}}, Models: []string{"m"}}
 }
 
-func (a *askedGateway) namings() []versions.Naming {
-	if !a.learned.Load() {
-		return a.atFirst
+func (a *fakeGateway) namings() []versions.Naming {
+	if !a.informed.Load() {
+		return a.initialNamings
 	}
 	return []versions.Naming{{Model: "m", Version: 2, At: time.Now().Add(-versionLimit)}}
 }
 
-// serve starts a's server and returns its address.
-func (a *askedGateway) serve(t *testing.T) string {
+// serve starts the server of the gateway and returns its address.
+func (a *fakeGateway) serve(t *testing.T) string {
 	mux, err := peerconn.NewMux(map[string]any{inventory.Service: inventory.NewServer(a.inventory, a.namings)})
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	server := httptest.NewServer(mux)
@@ -57,12 +57,12 @@
 	return server.Listener.Addr().String()
 }
 
-// The gateway that first tells a sidecar of a version may have heard of it late itself, or
-// have just started. What it learns from others reaches the sidecar, and the limit of the
-// old weights counts from then.
-func TestALimitCountsFromWhatAGatewayLearnsLater(t *testing.T) {
-	for name, a := range map[string]*askedGateway{
-		"heard late":   {atFirst: []versions.Naming{{Model: "m", Version: 2, At: time.Now()}}},
+// Guards against a limit of old weights that is computed from a late naming time. The gateway that
+// first reports a version to a sidecar may itself have learned of it late or have just started; the
+// sidecar must use the earlier time that the gateway learns afterwards.
+func TestLimitCountsFromTheTimeThatAGatewayLearnsLater(t *testing.T) {
+	for name, a := range map[string]*fakeGateway{
+		"learned late": {initialNamings: []versions.Naming{{Model: "m", Version: 2, At: time.Now()}}},
 		"just started": {},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -86,15 +86,15 @@
 			}, log.New(io.Discard), metrics.NewRegistry())
 			g.Expect(s.Start(context.Background())).To(Succeed())
 			t.Cleanup(func() { _ = s.Stop(context.Background()) })
-			g.Consistently(func() int { return held(g, addr) }, time.Second).Should(Equal(1), "its limit is not known to be over")
-			a.learned.Store(true)
-			g.Eventually(func() int { return held(g, addr) }, versionLimit/2).Should(BeZero())
+			g.Consistently(func() int { return heldModels(g, addr) }, time.Second).Should(Equal(1), "the limit is not known to have passed")
+			a.informed.Store(true)
+			g.Eventually(func() int { return heldModels(g, addr) }, versionLimit/2).Should(BeZero())
 		})
 	}
 }
 
-// held returns how many models the endpoint at addr tells of.
-func held(g *WithT, addr string) int {
+// heldModels returns the number of models that the endpoint at addr reports.
+func heldModels(g *WithT, addr string) int {
 	report, err := platform.NewEndpoint(addr).Report(context.Background())
 	g.Expect(err).NotTo(HaveOccurred())
 	return len(report.Held)
--- a/sidecar/stage/limit.go
+++ b/sidecar/stage/limit.go
@@ -70,7 +70,7 @@
 // loadComes returns whether a load of version required or a newer one is about to be
 // ordered in time: it ends the use of the old weights as well, and sooner takes requests.
 func (s *Stager) loadComes(model string, held, required int64) bool {
-	end, _ := s.named.End(model, held)
+	end, _ := s.named.Deadline(model, held)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.loading[model] >= required && time.Until(end) > unloadLatest
--- a/sidecar/stage/load.go
+++ b/sidecar/stage/load.go
@@ -188,7 +188,7 @@
 
 // drainTime returns for how long the endpoint, which runs version held, drains.
 func (s *Stager) drainTime(model string, held int64, running int) time.Duration {
-	end, ends := s.named.End(model, held)
+	end, ends := s.named.Deadline(model, held)
 	if !ends {
 		return 0
 	}
--- a/sidecar/stage/stager.go
+++ b/sidecar/stage/stager.go
@@ -164,7 +164,7 @@
 // outdated returns whether requests could not use version any more once it is
 // loaded, since its limit has come.
 func (s *Stager) outdated(model string, version int64) bool {
-	end, ends := s.named.End(model, version)
+	end, ends := s.named.Deadline(model, version)
 	return ends && !Useful(end, time.Now())
 }
 
@@ -175,7 +175,7 @@
 // whichever is loaded in the end.
 func (s *Stager) mayChange(ctx context.Context, model string, held int64, want target) (leased, may bool) {
 	naming, replaced := s.named.Replaced(model, held)
-	if held == 0 || !replaced || naming.Found {
+	if held == 0 || !replaced || naming.TimeUnknown {
 		return false, true // it is empty, or nobody knows how near the limit is
 	}
 	now := time.Now()
--- a/sidecar/stage/target.go
+++ b/sidecar/stage/target.go
@@ -31,7 +31,7 @@
 	now := time.Now()
 	s.targets[model] = target{version: version, seenAt: now, first: first}
 	if first {
-		s.named.Find(model, version, now)
+		s.named.AddExisting(model, version, now)
 	} else {
 		s.named.Add(model, version, now)
 	}
@@ -50,7 +50,7 @@
 // Suspended takes in that the VM was suspended for d.
 func (s *Stager) Suspended(d time.Duration) {
 	s.cfg.Log.Warn("suspended", "forMs", d.Milliseconds())
-	s.named.Suspended(d)
+	s.named.AdjustForSuspension(d)
 }
 
 // target returns the newest version that the endpoint should run.
--- a/suspend/suspend.go
+++ b/suspend/suspend.go
@@ -1,8 +1,7 @@
-// Package suspend tells for how long the VM of this process was suspended. The steady clock
-// stands still meanwhile, while other VMs and the platform go on: what counts from an earlier
-// moment by it, such as the limit of a version of weights, would end that much too late.
-//
-// It owns the difference of two clocks as it was seen last.
+// Package suspend detects for how long the VM of this process was suspended. The monotonic clock
+// stops during a suspension while other VMs and the platform continue, so a deadline that is
+// measured with it, such as the limit of a version of weights, would expire too late by that
+// time.
 package suspend
 
 import (
@@ -11,21 +10,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// minSuspended is the shortest time that is told: the two clocks are read one after the
-// other, and a busy VM may take some milliseconds between.
+// minSuspended is the shortest suspension that is reported. The two clocks are read one after
+// the other, and some milliseconds may pass in between on a busy VM.
 const minSuspended = 100 * time.Millisecond
 
-// Clocks returns the time of the steady clock and that since the VM's start, which also counts
-// while it is suspended.
-type Clocks func() (steady, boot time.Duration, err error)
+// Clocks returns the time of the monotonic clock and the time since boot, which includes
+// suspensions.
+type Clocks func() (monotonic, boot time.Duration, err error)
 
 // SystemClocks reads the kernel's clocks.
-func SystemClocks() (steady, boot time.Duration, err error) {
+func SystemClocks() (monotonic, boot time.Duration, err error) {
 	if boot, err = read(unix.CLOCK_BOOTTIME); err != nil {
 		return 0, 0, err
 	}
-	steady, err = read(unix.CLOCK_MONOTONIC)
-	return steady, boot, err
+	monotonic, err = read(unix.CLOCK_MONOTONIC)
+	return monotonic, boot, err
 }
 
 func read(clock int32) (time.Duration, error) {
@@ -34,38 +33,38 @@
 	return time.Duration(ts.Nano()), err
 }
 
-// Watch finds out when the VM was suspended. It is for one goroutine.
-type Watch struct {
+// Detector detects suspensions of the VM. It is not safe for concurrent use.
+type Detector struct {
 	clocks Clocks
-	// told is by how much the clocks differed when that was told last, known once they were
-	// read.
-	told  time.Duration
-	known bool
+	// lastOffset is the difference between the clocks when a suspension was last reported. It is
+	// valid once initialized is set, after the clocks were first read.
+	lastOffset  time.Duration
+	initialized bool
 }
 
-// NewWatch returns a Watch of clocks, which are read for the first time now.
-func NewWatch(clocks Clocks) *Watch {
-	w := &Watch{clocks: clocks}
-	w.Suspended()
-	return w
+// NewDetector returns a Detector that uses clocks and reads them for the first time now.
+func NewDetector(clocks Clocks) *Detector {
+	d := &Detector{clocks: clocks}
+	d.Suspended()
+	return d
 }
 
-// Suspended returns for how long the VM was suspended since it was last told. Where the
-// clocks can't be read, it is as if it never was.
-func (w *Watch) Suspended() time.Duration {
-	steady, boot, err := w.clocks()
+// Suspended returns for how long the VM was suspended since the last suspension that it
+// reported, or 0 if the clocks can't be read.
+func (d *Detector) Suspended() time.Duration {
+	monotonic, boot, err := d.clocks()
 	if err != nil {
 		return 0
 	}
-	differ := boot - steady
-	passed := differ - w.told
-	if w.known && passed < minSuspended {
+	offset := boot - monotonic
+	suspended := offset - d.lastOffset
+	if d.initialized && suspended < minSuspended {
 		return 0
 	}
-	first := !w.known
-	w.told, w.known = differ, true
+	first := !d.initialized
+	d.lastOffset, d.initialized = offset, true
 	if first {
 		return 0
 	}
-	return passed
+	return suspended
 }
--- a/suspend/suspend_test.go
+++ b/suspend/suspend_test.go
@@ -10,51 +10,53 @@
 	"github.com/silverdeck/silverdeck/suspend"
 )
 
-// vm has clocks that a test sets.
-type vm struct {
-	steady, boot time.Duration
-	err          error
+// fakeVM has clocks that a test sets.
+type fakeVM struct {
+	monotonic, boot time.Duration
+	err             error
 }
 
-func (v *vm) clocks() (steady, boot time.Duration, err error) { return v.steady, v.boot, v.err }
+func (v *fakeVM) clocks() (monotonic, boot time.Duration, err error) {
+	return v.monotonic, v.boot, v.err
+}
 
-// run lets time pass.
-func (v *vm) run(d time.Duration) { v.steady, v.boot = v.steady+d, v.boot+d }
+// run advances both clocks.
+func (v *fakeVM) run(d time.Duration) { v.monotonic, v.boot = v.monotonic+d, v.boot+d }
 
-// suspend lets time pass for others only.
-func (v *vm) suspend(d time.Duration) { v.boot += d }
+// suspend advances only the clock that includes suspensions.
+func (v *fakeVM) suspend(d time.Duration) { v.boot += d }
 
-func TestASuspensionIsToldOnce(t *testing.T) {
+func TestSuspensionIsReportedOnce(t *testing.T) {
 	g := NewWithT(t)
-	v := &vm{steady: time.Hour, boot: 3 * time.Hour}
-	w := suspend.NewWatch(v.clocks)
+	v := &fakeVM{monotonic: time.Hour, boot: 3 * time.Hour}
+	d := suspend.NewDetector(v.clocks)
 	v.run(time.Minute)
-	g.Expect(w.Suspended()).To(BeZero(), "what was before the process began does not count")
+	g.Expect(d.Suspended()).To(BeZero(), "suspensions before the process started do not count")
 	v.suspend(4 * time.Second)
 	v.run(time.Second)
-	g.Expect(w.Suspended()).To(Equal(4 * time.Second))
-	g.Expect(w.Suspended()).To(BeZero())
+	g.Expect(d.Suspended()).To(Equal(4 * time.Second))
+	g.Expect(d.Suspended()).To(BeZero())
 	v.suspend(100*time.Millisecond - 1)
-	g.Expect(w.Suspended()).To(BeZero(), "the clocks are not read at one moment")
+	g.Expect(d.Suspended()).To(BeZero(), "below the minimum, since the clocks are not read at the same time")
 	v.suspend(1)
-	g.Expect(w.Suspended()).To(Equal(100*time.Millisecond), "several short ones count together")
+	g.Expect(d.Suspended()).To(Equal(100*time.Millisecond), "short suspensions add up")
 }
 
-func TestClocksThatCannotBeReadTellNothing(t *testing.T) {
+func TestUnreadableClocksReportNoSuspension(t *testing.T) {
 	g := NewWithT(t)
-	v := &vm{steady: time.Hour, boot: time.Hour, err: errors.New("no such clock")}
-	w := suspend.NewWatch(v.clocks)
-	g.Expect(w.Suspended()).To(BeZero())
+	v := &fakeVM{monotonic: time.Hour, boot: time.Hour, err: errors.New("no such clock")}
+	d := suspend.NewDetector(v.clocks)
+	g.Expect(d.Suspended()).To(BeZero())
 	v.err = nil
-	g.Expect(w.Suspended()).To(BeZero(), "the first reading")
+	g.Expect(d.Suspended()).To(BeZero(), "first successful read")
 	v.suspend(time.Second)
-	g.Expect(w.Suspended()).To(Equal(time.Second))
+	g.Expect(d.Suspended()).To(Equal(time.Second))
 }
 
-func TestTheSystemsClocksCanBeRead(t *testing.T) {
+func TestSystemClocksCanBeRead(t *testing.T) {
 	g := NewWithT(t)
-	steady, boot, err := suspend.SystemClocks()
+	monotonic, boot, err := suspend.SystemClocks()
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(steady).To(BeNumerically(">", 0))
+	g.Expect(monotonic).To(BeNumerically(">", 0))
 	g.Expect(boot).To(BeNumerically(">", 0))
 }
--- a/versions/versions.go
+++ b/versions/versions.go
@@ -1,5 +1,5 @@
-// Package versions remembers when each version of a model was named, and tells from
-// when on no request may begin on older weights.
+// Package versions records when each version of a model was named and computes the time from which
+// no request may begin on older weights.
 package versions
 
 import (
@@ -9,98 +9,97 @@
 	"time"
 )
 
-// Naming is when a version of a model was named, as far as is known.
+// Naming records when a version of a model was named.
 type Naming struct {
 	Model   string
 	Version int64
-	// At is when it was named, or when it was found.
+	// At is the time of the naming, or of the discovery of the version if TimeUnknown is set.
 	At time.Time
-	// Found is set when the version stood there already when this process began, and
-	// nobody has told since when.
-	Found bool
-	// Due is set when the version is required whenever it was named; see Require.
-	Due bool
+	// TimeUnknown is set if the version already existed when this process started and no other
+	// process has reported when it was named.
+	TimeUnknown bool
+	// Required is set if the version is required regardless of when it was named; see Require.
+	Required bool
 }
 
-// History remembers the newest versions of each model. It is safe for concurrent
-// use.
+// History records the newest versions of each model. It is safe for concurrent use.
 type History struct {
-	// limit is the time after a version's naming from which older ones are not to be
-	// used.
+	// limit is the time after the naming of a version from which no request may begin on an
+	// older one.
 	limit time.Duration
 
 	mu sync.RWMutex
-	// models are the namings by model, in the order of versions.
+	// models holds the namings by model, ordered by version.
 	models map[string][]Naming
 }
 
-// New returns a History of no model. limit is the time after the naming of a version
-// from which no request may begin on an older one.
+// New returns an empty History. limit is the time after the naming of a version from which no
+// request may begin on an older one.
 func New(limit time.Duration) *History {
 	return &History{limit: limit, models: map[string][]Naming{}}
 }
 
-// maxNamings bounds the versions remembered of one model. The first of those within one
-// limit must stay: limits count from it. 64 within 8 s are eight a second, and take 5 KB.
+// maxNamings is the maximum number of versions recorded per model. The first version named within
+// one limit must be retained, since deadlines are computed from it: 64 versions in 8 s allow eight
+// namings per second and occupy 5 KB.
 const maxNamings = 64
 
-// Add takes in that a version of model was named at that time, and returns whether
-// it is the newest. A version that is known already was named at the earlier of the
-// times told.
+// Add records that a version of model was named at the given time, and returns whether it is a new
+// newest version. If the version is already known, the earlier time applies.
 func (h *History) Add(model string, version int64, at time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.note(Naming{Model: model, Version: version, At: at})
+	return h.insert(Naming{Model: model, Version: version, At: at})
 }
 
-// Find takes in that a version of model stood there when this process began, and
-// returns whether it is the newest. Nothing changes where the version is known.
-func (h *History) Find(model string, version int64, at time.Time) bool {
+// AddExisting records that a version of model already existed when this process started, and
+// returns whether it is a new newest version. It has no effect if the version is already known.
+func (h *History) AddExisting(model string, version int64, at time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.note(Naming{Model: model, Version: version, At: at, Found: true})
+	return h.insert(Naming{Model: model, Version: version, At: at, TimeUnknown: true})
 }
 
-// Correct takes in a naming that another process told, and returns by how much earlier
-// than known it was; 0 if it was not, or if the version was not known. One newer than all
-// that are known is left to come as news.
-func (h *History) Correct(told Naming) time.Duration {
+// MergeReported merges a naming that another process reported. It returns by how much the reported
+// time is earlier than the recorded one, or 0 if it is not earlier or the version was unknown. It
+// ignores a version newer than all known ones, so that Add still reports that version as new.
+func (h *History) MergeReported(reported Naming) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	namings := h.models[told.Model]
-	i, known := search(namings, told.Version)
+	namings := h.models[reported.Model]
+	i, known := search(namings, reported.Version)
 	if i == len(namings) {
 		return 0
 	}
 	if !known {
-		h.note(told)
+		h.insert(reported)
 		return 0
 	}
 	before := namings[i].At
-	h.note(told)
-	return max(before.Sub(told.At), 0)
+	h.insert(reported)
+	return max(before.Sub(reported.At), 0)
 }
 
-// search returns where a version stands among namings in order, or belongs, and whether
-// it is there.
+// search returns the index at which a version is or would be inserted in namings, which are ordered
+// by version, and whether it is present.
 func search(namings []Naming, version int64) (int, bool) {
 	return slices.BinarySearchFunc(namings, version, func(n Naming, v int64) int { return cmp.Compare(n.Version, v) })
 }
 
-// Cover returns whether told has all versions of newest.
-func Cover(told, newest []Naming) bool {
-	for _, n := range newest {
-		if !slices.ContainsFunc(told, func(t Naming) bool { return t.Model == n.Model && t.Version == n.Version }) {
+// ContainsAll returns whether namings contains all versions in wanted.
+func ContainsAll(namings, wanted []Naming) bool {
+	for _, w := range wanted {
+		if !slices.ContainsFunc(namings, func(n Naming) bool { return n.Model == w.Model && n.Version == w.Version }) {
 			return false
 		}
 	}
 	return true
 }
 
-// Suspended takes in that this process's clock stood still for d while the platform's went on:
-// all namings are that much longer ago. Without it, requests would be sent to weights past
-// their limit for as long as the VM was suspended.
-func (h *History) Suspended(d time.Duration) {
+// AdjustForSuspension shifts all namings into the past by d, the time for which the VM was
+// suspended and the monotonic clock of this process stopped. Otherwise requests would be sent to
+// weights that are past their limit, for as long as the VM was suspended.
+func (h *History) AdjustForSuspension(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, namings := range h.models {
@@ -110,23 +109,23 @@
 	}
 }
 
-// Require makes a version that is known required from now on. It changes nothing of when
-// it was named, and others are not told.
+// Require makes a known version required from now on. It does not change the time of the naming
+// and is not reported to other processes.
 func (h *History) Require(model string, version int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if i, known := search(h.models[model], version); known {
-		h.models[model][i].Due = true
+		h.models[model][i].Required = true
 	}
 }
 
-// note takes in a naming and returns whether it is of the newest version. The caller
-// holds the lock.
-func (h *History) note(n Naming) bool {
+// insert records a naming, merging it with a known one of the same version, and returns whether it
+// is of a new newest version. The caller must hold h.mu.
+func (h *History) insert(n Naming) bool {
 	namings := h.models[n.Model]
 	i, known := search(namings, n.Version)
 	if known {
-		namings[i] = earlier(namings[i], n)
+		namings[i] = merge(namings[i], n)
 		return false
 	}
 	newest := i == len(namings)
@@ -138,31 +137,31 @@
 	return newest
 }
 
-// earlier returns which of two tellings of one naming holds: the earlier, and
-// any rather than none.
-func earlier(known, told Naming) Naming {
-	if told.Found || (!known.Found && known.At.Before(told.At)) {
+// merge combines two records of the same naming: a known time takes precedence over an unknown
+// one, and the earlier of two known times over the later.
+func merge(known, reported Naming) Naming {
+	if reported.TimeUnknown || (!known.TimeUnknown && known.At.Before(reported.At)) {
 		return known
 	}
-	told.Due = known.Due
-	return told
+	reported.Required = known.Required
+	return reported
 }
 
-// Required returns the newest version of model that every endpoint must hold by now.
+// Required returns the newest version of model that every endpoint must hold at time now, or 0.
 func (h *History) Required(model string, now time.Time) int64 {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	var required int64
 	for _, n := range h.models[model] {
-		if n.Due || now.Sub(n.At) >= h.limit {
+		if n.Required || now.Sub(n.At) >= h.limit {
 			required = n.Version
 		}
 	}
 	return required
 }
 
-// Replaced returns the naming by which a version of model was first replaced: the
-// earliest of a newer one. It returns false while there is none.
+// Replaced returns the naming that first replaced a version of model, which is the earliest naming
+// of a newer version. It returns false if there is none.
 func (h *History) Replaced(model string, version int64) (Naming, bool) {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -176,21 +175,21 @@
 	return first, replaced
 }
 
-// End returns from when on no request may begin on a version of model: the limit
-// after it was first replaced. It returns false while none is newer.
-func (h *History) End(model string, version int64) (time.Time, bool) {
+// Deadline returns the time from which no request may begin on a version of model: the limit after
+// the version was first replaced. It returns false if there is no newer version.
+func (h *History) Deadline(model string, version int64) (time.Time, bool) {
 	n, replaced := h.Replaced(model, version)
 	return n.At.Add(h.limit), replaced
 }
 
-// Told returns the namings of which it is known when they were, by model and version.
-func (h *History) Told() []Naming {
+// WithKnownTime returns the namings whose time is known, ordered by model and version.
+func (h *History) WithKnownTime() []Naming {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	var out []Naming
 	for _, namings := range h.models {
 		for _, n := range namings {
-			if !n.Found {
+			if !n.TimeUnknown {
 				out = append(out, n)
 			}
 		}
@@ -201,7 +200,7 @@
 	return out
 }
 
-// Latest returns the newest version of model that was named, or 0.
+// Latest returns the newest known version of model, or 0.
 func (h *History) Latest(model string) int64 {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -212,7 +211,7 @@
 	return namings[len(namings)-1].Version
 }
 
-// Newest returns the naming of the newest version of each model, by model.
+// Newest returns the naming of the newest version of each model, ordered by model.
 func (h *History) Newest() []Naming {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
