--- a/sidecar/stage/limit.go
+++ b/sidecar/stage/limit.go
@@ -71,7 +71,7 @@
 // ordered in time. Such a load also ends the use of the old weights, and makes the endpoint
 // available sooner.
 func (s *Stager) loadImminent(model string, held, required int64) bool {
-	end, _ := s.history.End(model, held)
+	end, _ := s.history.Deadline(model, held)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.loading[model] >= required && time.Until(end) > minUnloadLead
--- a/sidecar/stage/load.go
+++ b/sidecar/stage/load.go
@@ -191,7 +191,7 @@
 
 // drainTime returns how long the endpoint, which runs version held, may drain.
 func (s *Stager) drainTime(model string, held int64, running int) time.Duration {
-	end, ends := s.history.End(model, held)
+	end, ends := s.history.Deadline(model, held)
 	if !ends {
 		return 0
 	}
--- a/sidecar/stage/stager.go
+++ b/sidecar/stage/stager.go
@@ -165,7 +165,7 @@
 // expiresTooSoon returns whether version would be too close to its expiry, or past it, by the
 // time it is loaded.
 func (s *Stager) expiresTooSoon(model string, version int64) bool {
-	end, ends := s.history.End(model, version)
+	end, ends := s.history.Deadline(model, version)
 	return ends && !WorthLoading(end, time.Now())
 }
 
@@ -176,7 +176,7 @@
 // version that first superseded the running one, whichever version is loaded in the end.
 func (s *Stager) maySwitch(ctx context.Context, model string, held int64, want target) (leased, may bool) {
 	naming, replaced := s.history.Replaced(model, held)
-	if held == 0 || !replaced || naming.Found {
+	if held == 0 || !replaced || naming.TimeUnknown {
 		return false, true // nothing is loaded, or the time left is unknown
 	}
 	now := time.Now()
--- a/sidecar/stage/target.go
+++ b/sidecar/stage/target.go
@@ -32,7 +32,7 @@
 	now := time.Now()
 	s.targets[model] = target{version: version, firstSeen: now, atStartup: atStartup}
 	if atStartup {
-		s.history.Find(model, version, now)
+		s.history.AddExisting(model, version, now)
 	} else {
 		s.history.Add(model, version, now)
 	}
@@ -51,7 +51,7 @@
 // RecordSuspension records that the VM was suspended for d.
 func (s *Stager) RecordSuspension(d time.Duration) {
 	s.cfg.Log.Warn("suspended", "forMs", d.Milliseconds())
-	s.history.Suspended(d)
+	s.history.AdjustForSuspension(d)
 }
 
 // target returns the newest version that the endpoint should run.
