--- a/sidecar/stage/download.go
+++ b/sidecar/stage/download.go
@@ -60,10 +60,10 @@
 func DownloadOptions(originRate float64, members int, link *congestion.Meter) []swarm.Option {
 	return []swarm.Option{
 		swarm.WithOriginBudget(originRate, float64(members+1)),
-		swarm.WithLateness(originLateness),
+		swarm.WithTakeoverDelay(originLateness),
 		swarm.WithParallel(parallelChunks, perMember),
 		swarm.WithLink(link),
-		swarm.WithPatience(readerPatience),
+		swarm.WithMaxPostponements(readerPatience),
 		swarm.WithMinTimeout(chunkLimit),
 	}
 }
--- a/spec/chunks.pml
+++ b/spec/chunks.pml
@@ -3,8 +3,8 @@
  * and members that hold pieces of either version.
  *
  * Model of: weights.Set.Put and Complete, weights.Set.VerifyWhole
- * (weights/set.go), swarm.Download.arrived and readOrigin (swarm/download.go,
- * swarm/inject.go) and agent.loader.load (agent/loader.go).
+ * (weights/set.go), swarm.Download.handleChunk and readOrigin (swarm/fetch.go,
+ * swarm/readorigin.go) and agent.loader.load (agent/loader.go).
  *
  * Two members and an origin; two versions of two chunks each. A chunk's
  * content is the version it belongs to (1 or 2), or 0 when it is corrupt.
--- a/swarm/availability.go
+++ b/swarm/availability.go
@@ -6,67 +6,67 @@
 	"time"
 )
 
-// neighbour is one member that is asked for chunks.
+// neighbour is a member from which chunks are requested.
 type neighbour struct {
 	member      Member
-	up          bool
-	strikes     int
+	active      bool
+	failures    int
 	outstanding int
-	// until is when the neighbour may be asked again after a fault.
-	until time.Time
+	// retryAt is when requests may resume after a failure or a refusal as busy.
+	retryAt time.Time
 }
 
-// flight is a chunk under way from a neighbour.
-type flight struct {
+// transfer is a chunk that is being received from neighbours.
+type transfer struct {
 	began  time.Time
 	copies int
-	// from are the neighbours that it is under way from.
+	// from is the bit mask of the neighbours from which the chunk is requested.
 	from uint32
 }
 
-// availability knows which neighbour holds which chunk, what is under way, and
-// which chunk to ask for next. It is not safe for concurrent use.
+// availability tracks which neighbours hold which chunks and which chunks are in flight, and
+// selects the next chunk to request. It is not safe for concurrent use.
 type availability struct {
 	neighbours []neighbour
 	holders    []uint32
 	have       []bool
-	flights    map[int]flight
+	transfers  map[int]transfer
 	rand       *rand.Rand
 }
 
 func newAvailability(chunks int, r *rand.Rand) *availability {
 	return &availability{
-		holders: make([]uint32, chunks),
-		have:    make([]bool, chunks),
-		flights: map[int]flight{},
-		rand:    r,
+		holders:   make([]uint32, chunks),
+		have:      make([]bool, chunks),
+		transfers: map[int]transfer{},
+		rand:      r,
 	}
 }
 
-// idle returns the neighbours that can be asked for one more chunk now.
+// idle returns the bit mask of the neighbours that can take one more request now.
 func (a *availability) idle(now time.Time, perNeighbour int) uint32 {
 	var mask uint32
 	for i := range a.neighbours {
 		n := &a.neighbours[i]
-		if n.up && n.outstanding < perNeighbour && !now.Before(n.until) {
+		if n.active && n.outstanding < perNeighbour && !now.Before(n.retryAt) {
 			mask |= 1 << i
 		}
 	}
 	return mask
 }
 
-// pick returns the next chunk to ask for and the neighbour to ask, rarest
-// first. When everything that can be had is under way, it returns a chunk that
-// has been under way for longer than slow, to be asked for once more.
+// pick selects the next chunk to request and the neighbour to request it from, rarest chunk
+// first. If all available chunks are in flight, it selects one that has been in flight for
+// longer than slow, to be requested from a second neighbour.
 func (a *availability) pick(now time.Time, perNeighbour int, slow time.Duration) (chunk, from int, ok bool) {
 	idle := a.idle(now, perNeighbour)
 	if idle == 0 {
 		return 0, 0, false
 	}
-	chunk = a.rarest(idle, func(c int) bool { return a.flights[c].copies == 0 })
+	chunk = a.rarest(idle, func(c int) bool { return a.transfers[c].copies == 0 })
 	if chunk < 0 {
 		chunk = a.rarest(idle, func(c int) bool {
-			f := a.flights[c]
+			f := a.transfers[c]
 			return f.copies == 1 && now.Sub(f.began) > slow
 		})
 	}
@@ -116,38 +116,38 @@
 	return best
 }
 
-// begin notes that chunk c is under way from neighbour i.
+// begin records a new request for chunk c to neighbour i.
 func (a *availability) begin(c, i int, now time.Time) {
-	f := a.flights[c]
+	f := a.transfers[c]
 	f.began = now
 	f.copies++
 	f.from |= 1 << i
-	a.flights[c] = f
+	a.transfers[c] = f
 	a.neighbours[i].outstanding++
 }
 
-// end notes that a request for chunk c to neighbour i is over.
+// end records that a request for chunk c to neighbour i has ended.
 func (a *availability) end(c, i int) {
 	a.neighbours[i].outstanding--
-	f := a.flights[c]
+	f := a.transfers[c]
 	f.copies--
 	f.from &^= 1 << i
 	if f.copies <= 0 {
-		delete(a.flights, c)
+		delete(a.transfers, c)
 		return
 	}
-	a.flights[c] = f
+	a.transfers[c] = f
 }
 
-// forget drops what neighbour i was known to hold.
-func (a *availability) forget(i int) {
+// clearHoldings removes neighbour i as a holder of all chunks.
+func (a *availability) clearHoldings(i int) {
 	for c := range a.holders {
 		a.holders[c] &^= 1 << i
 	}
 }
 
-// expected returns whether chunk c may be had from one of the neighbours in mask, or
-// is under way from one.
-func (a *availability) expected(c int, mask uint32) bool {
-	return (a.holders[c]|a.flights[c].from)&mask != 0
+// obtainable reports whether one of the neighbours in mask holds chunk c or has been asked
+// for it.
+func (a *availability) obtainable(c int, mask uint32) bool {
+	return (a.holders[c]|a.transfers[c].from)&mask != 0
 }
--- a/swarm/config.go
+++ b/swarm/config.go
@@ -9,59 +9,58 @@
 
 // Config holds a Download's settings.
 type Config struct {
-	// Degree is how many neighbours a member asks for chunks.
+	// Degree is the number of neighbours from which a member requests chunks.
 	Degree int
-	// Parallel is how many chunks a member fetches at once.
+	// Parallel is the maximum number of chunks that a member fetches at once.
 	Parallel int
-	// PerNeighbour is how many of these may come from one neighbour.
+	// PerNeighbour is the maximum number of these from a single neighbour.
 	PerNeighbour int
-	// OriginRate is the ceiling on the origin's link for all members together,
-	// in bytes a second; 0 means none.
+	// OriginRate is the limit on the rate of origin reads by all members together, in bytes
+	// per second; 0 means unlimited.
 	OriginRate float64
-	// OriginCopies is the ceiling on bytes read from the origin by all members
-	// together, in copies of the weights. It also sets how soon a late chunk is
-	// read again: more copies, less waiting.
+	// OriginCopies is the limit on bytes read from the origin by all members together, in
+	// copies of the weights. Unless TakeoverDelay is set, more copies also shorten the
+	// takeover delay.
 	OriginCopies float64
-	// Lateness is how long after its time a chunk may stay away before the next
-	// in rank reads it; 0 derives it from OriginRate and OriginCopies.
-	Lateness time.Duration
-	// MinTimeout is the shortest time after which a chunk from a neighbour
-	// counts as stalled.
+	// TakeoverDelay is how long after its due time a chunk may be missing before the reader
+	// next in rank takes over; 0 derives it from OriginRate and OriginCopies.
+	TakeoverDelay time.Duration
+	// MinTimeout is the shortest timeout of a chunk request to another member.
 	MinTimeout time.Duration
-	// LinkRate is the bandwidth of this VM's own link in bytes a second; 0 means
-	// unknown. A link that carries much less is not filled with several chunks.
+	// LinkRate is the bandwidth of this VM's own link in bytes per second; 0 means unknown.
+	// If the link turns out to be much slower, chunks are transferred one at a time.
 	LinkRate float64
-	// Link measures this VM's own link together with other downloads; nil measures it
-	// for this one alone, by LinkRate.
+	// Link measures this VM's own link and is shared with other downloads. If it is nil, the
+	// download creates a meter of its own from LinkRate.
 	Link *congestion.Meter
-	// Patience is how often a chunk is left to a member of the same region that
-	// says it is about to read it.
-	Patience int
-	// HeadStart is for how long other members may have been reading from the origin when
-	// this one begins: turns on the origin's link count from then.
+	// MaxPostponements is how often a chunk is postponed in favour of a member of the same
+	// region that reports that it is going to read it.
+	MaxPostponements int
+	// HeadStart is how long other members may have been reading from the origin when this
+	// download starts. Turns on the origin's link are counted from that earlier time.
 	HeadStart time.Duration
-	// FirstCopies makes a member read only the chunks that it is the first of all to read
-	// from the origin, at once, and end with them.
+	// FirstCopies restricts the download to the chunks of which this member is the home
+	// reader. They are due at once, and the download ends when they are complete.
 	FirstCopies bool
-	// Rand breaks ties.
+	// Rand is the source of randomness for breaking ties and for backoff jitter.
 	Rand *rand.Rand
 }
 
 // Option changes a Config.
 type Option func(*Config)
 
-// WithDegree sets how many neighbours a member asks for chunks.
+// WithDegree sets the number of neighbours, at most MaxDegree.
 func WithDegree(n int) Option {
 	return func(cfg *Config) { cfg.Degree = min(n, MaxDegree) }
 }
 
-// WithParallel sets how many chunks are fetched at once, and how many from one neighbour.
+// WithParallel sets how many chunks are fetched at once in total and from a single neighbour.
 func WithParallel(total, perNeighbour int) Option {
 	return func(cfg *Config) { cfg.Parallel, cfg.PerNeighbour = total, perNeighbour }
 }
 
-// WithOriginBudget sets the ceilings on the origin: bytes a second and copies.
-// Zero keeps the default.
+// WithOriginBudget sets the limits on origin reads: bytes per second, with 0 for unlimited, and
+// copies of the weights, with 0 for the default.
 func WithOriginBudget(rate, copies float64) Option {
 	return func(cfg *Config) {
 		cfg.OriginRate = rate
@@ -71,84 +70,82 @@
 	}
 }
 
-// WithLateness sets how long a chunk may stay away before the next in rank reads it.
-func WithLateness(d time.Duration) Option {
-	return func(cfg *Config) { cfg.Lateness = d }
+// WithTakeoverDelay sets how long a chunk may be missing before the reader next in rank takes
+// over.
+func WithTakeoverDelay(d time.Duration) Option {
+	return func(cfg *Config) { cfg.TakeoverDelay = d }
 }
 
-// WithMinTimeout sets the shortest time after which a chunk counts as stalled.
+// WithMinTimeout sets the shortest timeout of a chunk request.
 func WithMinTimeout(d time.Duration) Option {
 	return func(cfg *Config) { cfg.MinTimeout = d }
 }
 
-// WithLinkRate sets the bandwidth of this VM's own link, in bytes a second.
+// WithLinkRate sets the bandwidth of this VM's own link, in bytes per second.
 func WithLinkRate(rate float64) Option {
 	return func(cfg *Config) { cfg.LinkRate = rate }
 }
 
-// WithLink sets what measures this VM's own link, which other downloads share.
+// WithLink sets the meter of this VM's own link, shared with other downloads.
 func WithLink(m *congestion.Meter) Option {
 	return func(cfg *Config) { cfg.Link = m }
 }
 
-// WithPatience sets how often a chunk is left to a member of the same region that
-// says it is about to read it.
-func WithPatience(n int) Option {
-	return func(cfg *Config) { cfg.Patience = n }
+// WithMaxPostponements sets how often a chunk is postponed in favour of a member of the same
+// region that reports that it is going to read it.
+func WithMaxPostponements(n int) Option {
+	return func(cfg *Config) { cfg.MaxPostponements = n }
 }
 
-// WithHeadStart sets for how long other members may have been reading from the origin.
+// WithHeadStart sets how long other members may have been reading from the origin already.
 func WithHeadStart(d time.Duration) Option {
 	return func(cfg *Config) { cfg.HeadStart = d }
 }
 
-// WithFirstCopies makes a member bring in only what it is the first of all to read.
+// WithFirstCopies restricts the download to the chunks of which this member is the home reader.
 func WithFirstCopies() Option {
 	return func(cfg *Config) { cfg.FirstCopies = true }
 }
 
-// WithRand sets the source of tie breaks; tests that must repeat set it.
+// WithRand sets the source of randomness, for reproducible tests.
 func WithRand(r *rand.Rand) Option {
 	return func(cfg *Config) { cfg.Rand = r }
 }
 
-// DefaultCopies is the ceiling on origin copies where nothing else is set. Healthy
-// swarms read little more than one.
+// DefaultCopies is the default limit on copies read from the origin. A healthy swarm reads
+// little more than one copy.
 const DefaultCopies = 1.25
 
-// Defaults of a Config; bench/burst measures them together.
+// Defaults of Config, as a set measured by standalone/bench/burst.
 const (
-	// defaultDegree is how many neighbours a member asks.
-	defaultDegree = 10
-	// defaultParallel is how many chunks it fetches at once.
-	defaultParallel = 8
-	// defaultMinTimeout is the shortest time after which a chunk counts as stalled.
+	defaultDegree     = 10
+	defaultParallel   = 8
 	defaultMinTimeout = 500 * time.Millisecond
 )
 
-// How the lateness is derived from a budget.
+// Derivation of the takeover delay from the origin budget.
 const (
-	// minLateness and maxLateness bound it.
-	minLateness = 250 * time.Millisecond
-	// maxLateness is the longest.
-	maxLateness = 15 * time.Second
-	// unknownCopyTime stands for an eighth of the time of one copy where the origin's
-	// rate is not known.
-	unknownCopyTime = 2 * time.Second
-	// latenessDivisor makes the lateness an eighth of the time of one copy.
-	latenessDivisor = 8
-	// minSpareCopies keeps a budget without spare copies from waiting forever.
+	// minTakeoverDelay and maxTakeoverDelay bound the derived delay.
+	minTakeoverDelay = 250 * time.Millisecond
+	maxTakeoverDelay = 15 * time.Second
+	// defaultTakeoverDelay replaces an eighth of the time of one copy if the origin's rate is
+	// unknown.
+	defaultTakeoverDelay = 2 * time.Second
+	// takeoverDelayDivisor sets the delay at the default budget to an eighth of the time that
+	// the origin's link takes for one copy.
+	takeoverDelayDivisor = 8
+	// minSpareCopies keeps the delay finite for a budget without spare copies.
 	minSpareCopies = 0.05
 )
 
 func newConfig(opts []Option) Config {
 	cfg := Config{
-		Degree:       defaultDegree,
-		Parallel:     defaultParallel,
-		PerNeighbour: 1,
-		OriginCopies: DefaultCopies,
-		MinTimeout:   defaultMinTimeout,
-		Patience:     defaultPatience,
+		Degree:           defaultDegree,
+		Parallel:         defaultParallel,
+		PerNeighbour:     1,
+		OriginCopies:     DefaultCopies,
+		MinTimeout:       defaultMinTimeout,
+		MaxPostponements: defaultMaxPostponements,
 	}
 	for _, o := range opts {
 		o(&cfg)
@@ -159,18 +156,18 @@
 	return cfg
 }
 
-// lateness returns how long a chunk may stay away. At the default budget it is
-// an eighth of the time that the origin's link takes for one copy; each spare
-// copy shortens it in proportion.
-func (cfg Config) lateness(size int64) time.Duration {
-	if cfg.Lateness > 0 {
-		return cfg.Lateness
+// takeoverDelay returns TakeoverDelay, or if that is not set, derives it for weights of size
+// bytes. At the default budget it is an eighth of the time that the origin's link takes for one
+// copy; it is inversely proportional to the number of spare copies, within bounds.
+func (cfg Config) takeoverDelay(size int64) time.Duration {
+	if cfg.TakeoverDelay > 0 {
+		return cfg.TakeoverDelay
 	}
-	base := unknownCopyTime
+	base := defaultTakeoverDelay
 	if cfg.OriginRate > 0 {
-		base = time.Duration(float64(size) / cfg.OriginRate / latenessDivisor * float64(time.Second))
+		base = time.Duration(float64(size) / cfg.OriginRate / takeoverDelayDivisor * float64(time.Second))
 	}
 	spare := max(cfg.OriginCopies-1, minSpareCopies)
 	d := time.Duration(float64(base) * (DefaultCopies - 1) / spare)
-	return min(max(d, minLateness), maxLateness)
+	return min(max(d, minTakeoverDelay), maxTakeoverDelay)
 }
--- a/swarm/congestion/congestion.go
+++ b/swarm/congestion/congestion.go
@@ -1,6 +1,6 @@
-// Package congestion tells by the times of chunks whether a VM's own link is narrower
-// than it should be. What else the link carries, such as requests, waits behind the
-// chunks then.
+// Package congestion detects from the transfer times of chunks whether a VM's own link has
+// much less bandwidth than configured. On such a link, other traffic such as requests queues
+// behind the chunks.
 package congestion
 
 import (
@@ -9,83 +9,86 @@
 )
 
 const (
-	// limitFactor is how many times longer than on a free link a chunk may take before the
-	// link counts as congested.
+	// limitFactor is the ratio of the mean chunk time to the baseline above which the link
+	// counts as congested.
 	limitFactor = 4
-	// smoothing is the weight of the newest sample in the usual time: about the last five
-	// count.
+	// smoothing is the weight of the newest sample in the moving average: about the last
+	// five samples count.
 	smoothing = 0.2
 )
 
-// Meter measures the times of chunks. One is shared by all downloads of a VM, one
-// after the other and at once: each that began to measure anew would fill a narrow link with
-// several chunks before its first sample, and requests wait behind them. It is safe for
-// concurrent use.
+// Meter measures the transfer times of chunks. All downloads of a VM, successive and
+// concurrent, share one Meter: a download that started to measure from scratch would request
+// several chunks at once over a narrow link before its first sample, and requests would queue
+// behind them. It is safe for concurrent use.
 type Meter struct {
-	// free is the time of a chunk on a free link; 0 means unknown.
-	free time.Duration
+	// baseline is the transfer time of a chunk on an uncongested link; 0 means unknown.
+	baseline time.Duration
 
 	mu sync.Mutex
-	// underWay counts the chunks that share the link now.
-	underWay int
-	// usual is the time of a chunk, shared out among those under way together.
-	usual time.Duration
+	// inFlight is the number of chunks that share the link now.
+	inFlight int
+	// mean is the moving average of the transfer time of a chunk, divided by the number of
+	// chunks in flight at the same time.
+	mean time.Duration
 }
 
-// New returns a Meter of a link of linkRate bytes a second, 0 if that is not known,
-// for chunks of chunkSize bytes.
+// New returns a Meter for chunks of chunkSize bytes on a link of linkRate bytes per second.
+// A linkRate of 0 means unknown; such a link never counts as congested.
 func New(linkRate float64, chunkSize int64) *Meter {
 	if linkRate <= 0 {
 		return &Meter{}
 	}
-	return &Meter{free: time.Duration(float64(chunkSize) / linkRate * float64(time.Second))}
+	return &Meter{baseline: time.Duration(float64(chunkSize) / linkRate * float64(time.Second))}
 }
 
-// Begin notes that a chunk is asked for.
+// Begin records the start of a chunk request.
 func (m *Meter) Begin() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.underWay++
+	m.inFlight++
 }
 
-// End notes that it came, or is given up, and returns how many were under way with it.
+// End records that a chunk request has completed or was abandoned. It returns the number of
+// requests in flight before it ended, including this one.
 func (m *Meter) End() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	together := m.underWay
-	m.underWay--
-	return together
+	concurrent := m.inFlight
+	m.inFlight--
+	return concurrent
 }
 
-// Took takes in that a chunk took d, or was given up after d, while together
-// chunks were under way.
-func (m *Meter) Took(d time.Duration, together int) {
-	share := d / time.Duration(max(together, 1))
+// Observe adds a sample: a chunk was received or abandoned after d, with concurrent chunks in
+// flight including it.
+func (m *Meter) Observe(d time.Duration, concurrent int) {
+	share := d / time.Duration(max(concurrent, 1))
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.usual == 0 {
-		m.usual = share
+	if m.mean == 0 {
+		m.mean = share
 	}
-	m.usual += time.Duration(smoothing * float64(share-m.usual))
+	m.mean += time.Duration(smoothing * float64(share-m.mean))
 }
 
-// Usual returns the time of a chunk that comes alone.
-func (m *Meter) Usual() time.Duration {
+// MeanTime returns the mean transfer time of a chunk that does not share the link.
+func (m *Meter) MeanTime() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.usual
+	return m.mean
 }
 
-// Congested returns whether chunks should come one at a time.
+// Congested reports whether the link is so slow that chunks should be transferred one at a
+// time.
 func (m *Meter) Congested() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.free > 0 && m.usual > limitFactor*m.free
+	return m.baseline > 0 && m.mean > limitFactor*m.baseline
 }
 
-// PassOver returns whether the neighbours that lag are to be passed over. Over a narrow
-// link of the VM's own several seem to lag, and nobody is: it would have nobody left to
-// ask but the origin.
-func PassOver(lagging, neighbours int, congested bool) bool {
+// ShouldSkip reports whether stragglers among the neighbours are to be skipped. If the VM's own
+// link is congested, several neighbours reply late because of that link, and skipping them
+// would leave only the origin as a source. The same holds if most neighbours reply late.
+func ShouldSkip(lagging, neighbours int, congested bool) bool {
 	return lagging <= 1 || (!congested && 2*lagging <= neighbours)
 }
--- a/swarm/congestion/congestion_test.go
+++ b/swarm/congestion/congestion_test.go
@@ -9,25 +9,25 @@
 	"github.com/silverdeck/silverdeck/swarm/congestion"
 )
 
-// linkRate is the bandwidth of a link, in bytes a second.
+// linkRate is the bandwidth of the link in bytes per second.
 const linkRate = 1 << 20
 
-func TestALinkIsCongestedWhenChunksTakeMuchLongerThanTheyShould(t *testing.T) {
+func TestALinkIsCongestedWhenChunksTakeMuchLongerThanExpected(t *testing.T) {
 	const chunk = 48 << 10
-	free := time.Duration(chunk / float64(linkRate) * float64(time.Second))
+	baseline := time.Duration(chunk / float64(linkRate) * float64(time.Second))
 	for name, c := range map[string]struct {
-		took     time.Duration
-		together int
-		want     bool
+		took       time.Duration
+		concurrent int
+		want       bool
 	}{
-		"alone, as it should":    {free, 1, false},
-		"three that share":       {6 * free, 3, false},
-		"three on a narrow link": {30 * free, 3, true},
-		"alone on a narrow link": {9 * free, 1, true},
+		"alone at the expected rate": {baseline, 1, false},
+		"three sharing the link":     {6 * baseline, 3, false},
+		"three on a narrow link":     {30 * baseline, 3, true},
+		"alone on a narrow link":     {9 * baseline, 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := congestion.New(linkRate, chunk)
-			l.Took(c.took, c.together)
+			l.Observe(c.took, c.concurrent)
 			NewWithT(t).Expect(l.Congested()).To(Equal(c.want))
 		})
 	}
@@ -36,21 +36,21 @@
 func TestACongestedLinkRecovers(t *testing.T) {
 	g := NewWithT(t)
 	l := congestion.New(linkRate, 48<<10)
-	l.Took(2*time.Second, 1)
+	l.Observe(2*time.Second, 1)
 	g.Expect(l.Congested()).To(BeTrue())
 	for range 20 {
-		l.Took(50*time.Millisecond, 1)
+		l.Observe(50*time.Millisecond, 1)
 	}
 	g.Expect(l.Congested()).To(BeFalse())
 }
 
 func TestALinkOfUnknownBandwidthIsNeverCongested(t *testing.T) {
 	l := congestion.New(0, 48<<10)
-	l.Took(time.Minute, 1)
+	l.Observe(time.Minute, 1)
 	NewWithT(t).Expect(l.Congested()).To(BeFalse())
 }
 
-func TestOnlyAFewNeighboursArePassedOver(t *testing.T) {
+func TestOnlyAFewNeighboursAreSkipped(t *testing.T) {
 	for name, c := range map[string]struct {
 		lagging, neighbours int
 		congested           bool
@@ -65,12 +65,12 @@
 		"all lag":                      {3, 3, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			NewWithT(t).Expect(congestion.PassOver(c.lagging, c.neighbours, c.congested)).To(Equal(c.want))
+			NewWithT(t).Expect(congestion.ShouldSkip(c.lagging, c.neighbours, c.congested)).To(Equal(c.want))
 		})
 	}
 }
 
-func TestChunksUnderWayAreCountedOverAllDownloads(t *testing.T) {
+func TestChunksInFlightAreCountedOverAllDownloads(t *testing.T) {
 	g := NewWithT(t)
 	l := congestion.New(linkRate, 48<<10)
 	l.Begin()
--- a/swarm/download.go
+++ b/swarm/download.go
@@ -10,11 +10,11 @@
 	"github.com/silverdeck/silverdeck/weights"
 )
 
-// tick is how often a download looks for late and stalled chunks. Well below the shortest
-// lateness.
-const tick = 50 * time.Millisecond
+// pollInterval is how often a download checks for due and stalled chunks. It is well below
+// minTakeoverDelay.
+const pollInterval = 50 * time.Millisecond
 
-// Download fills a Set from neighbours and the origin. It is safe for
+// Download fills a weights.Set with chunks from neighbours and the origin. It is safe for
 // concurrent use.
 type Download struct {
 	cfg    Config
@@ -25,26 +25,27 @@
 	began  time.Time
 	wake   chan struct{}
 
-	// inflight counts the goroutines of this download.
+	// inflight tracks the goroutines of this download.
 	inflight sync.WaitGroup
 
 	mu      sync.Mutex
 	members []Member
-	// standby are the members that take the place of a neighbour that is lost.
+	// standby lists the members that replace lost neighbours, in order of preference.
 	standby []Member
 	avail   *availability
-	// usual is the time of a chunk from a neighbour, newer ones weighing more.
-	usual    time.Duration
-	stats    Stats
-	delays   Delays
-	schedule schedule
-	link     *congestion.Meter
-	// corrupt counts the corrupt chunks of each VM.
-	corrupt  map[string]int
-	laggards laggards
+	// meanChunkTime is the exponential moving average of the time that a chunk from a
+	// neighbour takes.
+	meanChunkTime time.Duration
+	stats         Stats
+	delays        Delays
+	schedule      schedule
+	link          *congestion.Meter
+	// corrupt counts the corrupt chunks received from each VM.
+	corrupt    map[string]int
+	stragglers stragglerSet
 }
 
-// NewDownload returns a Download of set by self among members.
+// NewDownload returns a Download that fills set on behalf of self, one of members.
 func NewDownload(self Member, members []Member, set *weights.Set, peers Transport, o Origin, opts ...Option) *Download {
 	cfg := newConfig(opts)
 	d := &Download{
@@ -58,7 +59,7 @@
 		avail:   newAvailability(len(set.Manifest().Chunks), cfg.Rand),
 		corrupt: map[string]int{},
 
-		laggards: laggards{},
+		stragglers: stragglerSet{},
 	}
 	d.link = cfg.Link
 	if d.link == nil {
@@ -72,12 +73,12 @@
 	d.members = slices.Clone(members)
 	d.schedule = newSchedule(d)
 	if !cfg.FirstCopies {
-		d.standby = d.freshCandidates()
+		d.standby = d.unusedCandidates()
 	}
 	return d
 }
 
-// Stats returns how far the download has come.
+// Stats returns the progress of the download.
 func (d *Download) Stats() Stats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -86,16 +87,16 @@
 	return s
 }
 
-// Delays returns what has held the download up.
+// Delays returns the counters that explain delays of the download.
 func (d *Download) Delays() Delays {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.delays
 }
 
-// Reading returns whether chunk c is being brought in by this member, or is
-// about to be. A member whose own link is narrow does not say so: the next in rank
-// reads at once what would be late here.
+// Reading reports whether this member is reading chunk c from the origin or is about to. It
+// returns false if this VM's own link is congested, so that the reader next in rank takes over
+// at once instead of waiting for a chunk that would be late.
 func (d *Download) Reading(c int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,17 +107,17 @@
 	return !d.link.Congested() && d.schedule.willRead(c, n)
 }
 
-// SetMembers replaces the list of members, as VMs join and leave.
+// SetMembers replaces the list of members after VMs have joined or left.
 func (d *Download) SetMembers(members []Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.members = slices.Clone(members)
 	d.schedule.assign(d)
-	d.standby = d.freshCandidates()
+	d.standby = d.unusedCandidates()
 	d.signal()
 }
 
-// SetBudget changes the rollout's ceilings on the origin.
+// SetBudget changes the rollout's limits on origin reads.
 func (d *Download) SetBudget(rate, copies float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -124,12 +125,13 @@
 	d.signal()
 }
 
-// Run fetches until the set is complete and returns nil, or until ctx ends.
+// Run fetches chunks until the download is complete and returns nil, or returns the error of
+// ctx once that is done.
 func (d *Download) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer d.inflight.Wait()
 	defer cancel()
-	t := time.NewTicker(tick)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for !d.finished() {
 		d.step(ctx)
@@ -143,7 +145,8 @@
 	return nil
 }
 
-// finished returns whether all is there that the download is for.
+// finished reports whether the set is complete, or with FirstCopies whether all chunks of which
+// this member is the home reader are.
 func (d *Download) finished() bool {
 	if !d.cfg.FirstCopies || d.set.Complete() {
 		return d.set.Complete()
@@ -158,7 +161,7 @@
 	return true
 }
 
-// step starts whatever can be started now.
+// step starts all requests that are possible now.
 func (d *Download) step(ctx context.Context) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,7 +174,7 @@
 	d.fetchMore(ctx)
 }
 
-// signal makes Run look again.
+// signal wakes Run.
 func (d *Download) signal() {
 	select {
 	case d.wake <- struct{}{}:
--- a/swarm/download_test.go
+++ b/swarm/download_test.go
@@ -12,31 +12,31 @@
 	"github.com/silverdeck/silverdeck/weights"
 )
 
-// bound is what the links allow: every VM takes each chunk once.
-const bound = chunks * chunkTime
+// minDuration is the lower bound set by the links: every VM receives each chunk once.
+const minDuration = chunks * chunkTime
 
 func TestHealthySwarmReadsEachChunkOnceFromTheOrigin(t *testing.T) {
-	in(t, func(n *network) {
+	simulate(t, func(n *network) {
 		_, m := version(0)
 		n.start(m, members(12, "east"))
 		took := n.finish(time.Minute)
 		n.g.Expect(n.origin.readCount()).To(Equal(chunks))
-		n.g.Expect(took).To(BeNumerically("<", bound*7/4))
+		n.g.Expect(took).To(BeNumerically("<", minDuration*7/4))
 	})
 }
 
-// A run of CI beside busy processes found a chunk of a healthy swarm read twice. Its first
-// reader had it, all others asked for it at once, and the last in the queue had waited for
-// 250 ms. They took the reader's link for a narrow one, and the next in rank read the
-// chunk from the origin again. How such a queue forms depends on chance: in 13 of 480
-// plays of the test above. Here other chunks, of another version, make the queue.
-func TestAQueueAtAHolderIsNoNarrowLink(t *testing.T) {
+// Guards against a second origin read of a chunk whose only holder has a queue. When all members
+// request the chunk at once, the last in the queue waits 250 ms; the holder was then taken for
+// one with a narrow link, and the reader next in rank read the chunk from the origin again. The
+// test above, in which the queue forms by chance, failed in 13 of 480 runs. Here chunks of
+// another version fill the queue.
+func TestAQueueAtAHolderIsNotTakenForANarrowLink(t *testing.T) {
 	const queue = 10 * chunkTime
 	list := members(12, "east")
 	for i, x := range list {
-		for _, after := range []time.Duration{bound / 8, bound / 4, bound / 2} {
+		for _, after := range []time.Duration{minDuration / 8, minDuration / 4, minDuration / 2} {
 			t.Run(fmt.Sprintf("%s after %v", x.VM, after), func(t *testing.T) {
-				in(t, func(n *network) {
+				simulate(t, func(n *network) {
 					_, m := version(0)
 					n.start(m, list)
 					time.Sleep(after)
@@ -53,7 +53,7 @@
 }
 
 func TestKilledReadersAreTakenOver(t *testing.T) {
-	in(t, func(n *network) {
+	simulate(t, func(n *network) {
 		_, m := version(0)
 		n.start(m, members(10, "east"))
 		time.Sleep(5 * chunkTime)
@@ -65,11 +65,11 @@
 }
 
 func TestNewcomerTakesFromOthersNotFromTheOrigin(t *testing.T) {
-	in(t, func(n *network) {
+	simulate(t, func(n *network) {
 		_, m := version(0)
 		list := members(8, "east")
 		n.start(m, list)
-		time.Sleep(bound * 3 / 4)
+		time.Sleep(minDuration * 3 / 4)
 		list = append(list, member(8, "east"))
 		for _, x := range list[:8] {
 			n.get(x.VM).download.SetMembers(list)
@@ -81,7 +81,7 @@
 }
 
 func TestCorruptMemberIsAvoided(t *testing.T) {
-	in(t, func(n *network) {
+	simulate(t, func(n *network) {
 		_, m := version(0)
 		n.start(m, members(8, "east"))
 		n.get("east-02").update(func(v *vm) { v.corrupt = true })
@@ -89,7 +89,7 @@
 		caught := 0
 		for _, x := range members(8, "east") {
 			s := n.get(x.VM).download.Stats()
-			n.g.Expect(s.CorruptPeer).To(BeNumerically("<=", 6), "asked again and again")
+			n.g.Expect(s.CorruptPeer).To(BeNumerically("<=", 6), "corrupt member is asked repeatedly")
 			caught += s.CorruptPeer
 		}
 		n.g.Expect(caught).To(BeNumerically(">", 0))
@@ -97,7 +97,7 @@
 }
 
 func TestCorruptOriginIsReadAgain(t *testing.T) {
-	in(t, func(n *network) {
+	simulate(t, func(n *network) {
 		_, m := version(0)
 		n.origin.set(func(o *fakeOrigin) { o.corrupt = 3 })
 		n.start(m, members(8, "east"))
@@ -106,8 +106,8 @@
 	})
 }
 
-func TestStalledLinkHoldsNobodyElse(t *testing.T) {
-	in(t, func(n *network) {
+func TestStalledLinkDoesNotDelayOthers(t *testing.T) {
+	simulate(t, func(n *network) {
 		_, m := version(0)
 		n.start(m, members(10, "east"))
 		time.Sleep(10 * chunkTime)
@@ -117,12 +117,12 @@
 		delete(n.vms, "east-04")
 		n.mu.Unlock()
 		took := n.finish(time.Minute)
-		n.g.Expect(took).To(BeNumerically("<", 3*bound))
+		n.g.Expect(took).To(BeNumerically("<", 3*minDuration))
 	})
 }
 
 func TestVersionThatChangesMidCopyIsFinishedFromOthersOrNotAtAll(t *testing.T) {
-	in(t, func(n *network) {
+	simulate(t, func(n *network) {
 		_, m := version(0)
 		other, _ := version(7)
 		n.start(m, members(8, "east"))
@@ -134,14 +134,14 @@
 			n.g.Expect(v.set.Complete()).To(BeFalse())
 			for i := range chunks {
 				b := v.set.Get(i)
-				n.g.Expect(b == nil || b[0] != other[i*chunkSize]).To(BeTrue(), "a chunk of the other version")
+				n.g.Expect(b == nil || b[0] != other[i*chunkSize]).To(BeTrue(), "set holds a chunk of the other version")
 			}
 		}
 	})
 }
 
-func TestOriginThatRefusesTheVersionIsLeftAlone(t *testing.T) {
-	in(t, func(n *network) {
+func TestOriginThatRefusesTheVersionIsNotRetried(t *testing.T) {
+	simulate(t, func(n *network) {
 		_, m := version(0)
 		n.start(m, members(8, "east"))
 		time.Sleep(10 * chunkTime)
@@ -149,25 +149,25 @@
 		time.Sleep(time.Second)
 		reads := n.origin.readCount()
 		time.Sleep(20 * time.Second)
-		n.g.Expect(n.origin.readCount()).To(BeNumerically("<=", reads+8), "each member asks once more at the most")
+		n.g.Expect(n.origin.readCount()).To(BeNumerically("<=", reads+8), "each member reads at most once more")
 		n.g.Expect(n.get("east-00").download.Stats().Blocked).To(ContainSubstring("no longer has this version"))
 	})
 }
 
-func TestBrokenOriginIsNotStormed(t *testing.T) {
-	in(t, func(n *network) {
+func TestBrokenOriginIsNotOverloaded(t *testing.T) {
+	simulate(t, func(n *network) {
 		_, m := version(0)
 		n.origin.set(func(o *fakeOrigin) { o.down = true })
 		n.start(m, members(8, "east"))
 		time.Sleep(10 * time.Second)
 		before := n.origin.readCount()
 		time.Sleep(10 * time.Second)
-		n.g.Expect(n.origin.readCount()-before).To(BeNumerically("<=", 8*2*10), "each member asks at most twice a second")
+		n.g.Expect(n.origin.readCount()-before).To(BeNumerically("<=", 8*2*10), "each member reads at most twice per second")
 	})
 }
 
 func TestOriginThatComesBackIsUsed(t *testing.T) {
-	in(t, func(n *network) {
+	simulate(t, func(n *network) {
 		_, m := version(0)
 		n.origin.set(func(o *fakeOrigin) { o.down = true })
 		n.start(m, members(8, "east"))
@@ -178,7 +178,7 @@
 }
 
 func TestLongLinkCarriesEachChunkOnce(t *testing.T) {
-	in(t, func(n *network) {
+	simulate(t, func(n *network) {
 		_, m := version(0)
 		n.start(m, append(members(8, "east"), members(8, "west")...))
 		n.finish(time.Minute)
@@ -188,20 +188,20 @@
 }
 
 func TestRegionThatIsCutOffFinishesAlone(t *testing.T) {
-	in(t, func(n *network) {
+	simulate(t, func(n *network) {
 		_, m := version(0)
 		n.start(m, append(members(8, "east"), members(8, "west")...))
 		time.Sleep(10 * chunkTime)
 		n.mu.Lock()
-		n.cut["west"] = true
+		n.partitioned["west"] = true
 		n.mu.Unlock()
 		n.finish(time.Minute)
-		n.g.Expect(n.origin.readCount()).To(BeNumerically("<=", 2*chunks*5/4), "each region within its budget")
+		n.g.Expect(n.origin.readCount()).To(BeNumerically("<=", 2*chunks*5/4), "each region stays within its budget")
 	})
 }
 
 func TestARegionTakesFromAnotherWhenTheOriginFails(t *testing.T) {
-	in(t, func(n *network) {
+	simulate(t, func(n *network) {
 		_, m := version(0)
 		west, all := members(4, "west"), append(members(4, "west"), members(4, "east")...)
 		n.start(m, west)
@@ -222,30 +222,30 @@
 	})
 }
 
-// promising is a transport to members that say that they read every chunk, and
-// never have one.
-type promising struct{}
+// alwaysReading is a Transport to members that report that they are reading every chunk and never
+// deliver one.
+type alwaysReading struct{}
 
-func (promising) Have(ctx context.Context, _ swarm.Member, _ weights.Digest, _ int) ([]int, error) {
+func (alwaysReading) Have(ctx context.Context, _ swarm.Member, _ weights.Digest, _ int) ([]int, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-func (promising) Chunk(context.Context, swarm.Member, weights.Digest, int) ([]byte, error) {
+func (alwaysReading) Chunk(context.Context, swarm.Member, weights.Digest, int) ([]byte, error) {
 	return nil, &swarm.RefusalError{Refusal: swarm.RefusalReading}
 }
 
-func TestASlowReaderIsWaitedForAsLongAsPatienceSays(t *testing.T) {
+func TestASlowReaderIsWaitedForUpToMaxPostponements(t *testing.T) {
 	took := func(opts ...swarm.Option) (d time.Duration) {
-		in(t, func(n *network) {
+		simulate(t, func(n *network) {
 			_, m := version(0)
 			list := members(2, "east")
-			opts = append(opts, swarm.WithOriginBudget(originRate, 3), swarm.WithLateness(250*time.Millisecond))
+			opts = append(opts, swarm.WithOriginBudget(originRate, 3), swarm.WithTakeoverDelay(250*time.Millisecond))
 			began := time.Now()
-			n.g.Expect(swarm.NewDownload(list[0], list, weights.NewSet(m), promising{}, n.origin, opts...).Run(n.ctx)).To(Succeed())
+			n.g.Expect(swarm.NewDownload(list[0], list, weights.NewSet(m), alwaysReading{}, n.origin, opts...).Run(n.ctx)).To(Succeed())
 			d = time.Since(began)
 		})
 		return d
 	}
-	NewWithT(t).Expect(took(swarm.WithPatience(4))).To(BeNumerically("<", took()-time.Second))
+	NewWithT(t).Expect(took(swarm.WithMaxPostponements(4))).To(BeNumerically("<", took()-time.Second))
 }
--- a/swarm/fakes_test.go
+++ b/swarm/fakes_test.go
@@ -21,13 +21,14 @@
 const (
 	chunkSize = 4096
 	chunks    = 64
-	// chunkTime is what a chunk takes on a VM's link, and half of it on the origin's.
+	// chunkTime is the transfer time of a chunk on a VM's link. The origin's link takes half
+	// of it.
 	chunkTime = 20 * time.Millisecond
-	// originRate lets the origin's link carry a chunk in half of chunkTime.
+	// originRate is the origin's link rate, at which a chunk takes half of chunkTime.
 	originRate = float64(chunkSize) / (float64(chunkTime/2) / float64(time.Second))
 )
 
-// version returns weights that differ by seed, and their manifest.
+// version returns weights that depend on seed, and their manifest.
 func version(seed byte) ([]byte, *weights.Manifest) {
 	data := make([]byte, chunks*chunkSize)
 	for i := range data {
@@ -40,7 +41,7 @@
 	return data, m
 }
 
-// fakeOrigin serves one version over one serial link.
+// fakeOrigin serves one version over a link that transfers one chunk at a time.
 type fakeOrigin struct {
 	link chan struct{}
 
@@ -87,7 +88,7 @@
 	return o.total
 }
 
-// vm is one member of a fake network.
+// vm is a member of a fake network.
 type vm struct {
 	member   swarm.Member
 	set      *weights.Set
@@ -101,7 +102,8 @@
 	dead    bool
 	stalled bool
 	corrupt bool
-	// narrow is what a chunk takes on this VM's link, each way, in place of chunkTime.
+	// narrow, if set, is the transfer time of a chunk on this VM's link, in each direction,
+	// instead of chunkTime.
 	narrow time.Duration
 }
 
@@ -117,18 +119,18 @@
 	return v.dead, v.stalled, v.corrupt
 }
 
-// narrowed returns what a chunk takes on v's link if that is narrow, or else 0.
+// narrowed returns the transfer time of a chunk on v's link if that is narrow, or else 0.
 func (v *vm) narrowed() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.narrow
 }
 
-// send passes a chunk over v's link. Only a narrow link is free at once when nobody waits
-// for the chunk any longer.
+// send transfers a chunk from v over its uplink. Only a narrow link is released as soon as ctx is
+// done.
 func (v *vm) send(ctx context.Context) error {
 	if narrow := v.narrowed(); narrow > 0 {
-		return carry(ctx, v.up, narrow)
+		return occupy(ctx, v.up, narrow)
 	}
 	v.up <- struct{}{}
 	time.Sleep(chunkTime)
@@ -136,25 +138,25 @@
 	return nil
 }
 
-// receive passes a chunk that has come as far as v's link over it.
+// receive transfers a chunk to v over its downlink.
 func (v *vm) receive(ctx context.Context) error {
-	return carry(ctx, v.down, v.narrowed())
+	return occupy(ctx, v.down, v.narrowed())
 }
 
-// reply passes a request over v's link and the answer back. On a narrow link both wait
-// behind the chunks that are on it.
+// reply transfers a request to v and the response back, without its chunk. On a narrow link both
+// queue behind the chunks on it.
 func (v *vm) reply(ctx context.Context) error {
 	if v.narrowed() == 0 {
 		return nil
 	}
-	if err := carry(ctx, v.down, 0); err != nil {
+	if err := occupy(ctx, v.down, 0); err != nil {
 		return err
 	}
-	return carry(ctx, v.up, 0)
+	return occupy(ctx, v.up, 0)
 }
 
-// carry takes a link for d, or until ctx ends.
-func carry(ctx context.Context, link chan struct{}, d time.Duration) error {
+// occupy holds a link for d or until ctx is done.
+func occupy(ctx context.Context, link chan struct{}, d time.Duration) error {
 	select {
 	case link <- struct{}{}:
 	case <-ctx.Done():
@@ -169,13 +171,13 @@
 	}
 }
 
-// ownLink is the origin as one VM sees it, over its own link.
-type ownLink struct {
+// linkedOrigin is the origin as seen by one VM, behind that VM's own link.
+type linkedOrigin struct {
 	*fakeOrigin
 	v *vm
 }
 
-func (o ownLink) ReadChunk(ctx context.Context, off, n int64) ([]byte, error) {
+func (o linkedOrigin) ReadChunk(ctx context.Context, off, n int64) ([]byte, error) {
 	b, err := o.fakeOrigin.ReadChunk(ctx, off, n)
 	if o.v.narrowed() == 0 || err != nil {
 		return b, err
@@ -183,31 +185,31 @@
 	return b, o.v.receive(ctx)
 }
 
-// network joins fake VMs on virtual time.
+// network connects fake VMs in virtual time.
 type network struct {
 	g      Gomega
 	ctx    context.Context
 	origin *fakeOrigin
 
-	mu    sync.Mutex
-	vms   map[string]*vm
-	cut   map[string]bool
-	cross map[string]int
-	// express lets requests and refusals pass the chunks on a narrow link.
-	express bool
-	// options are those of every download, behind the network's own.
+	mu          sync.Mutex
+	vms         map[string]*vm
+	partitioned map[string]bool
+	cross       map[string]int
+	// priorityReplies lets requests and refusals overtake the chunks on a narrow link.
+	priorityReplies bool
+	// options are appended to the default options of every download.
 	options []swarm.Option
 }
 
-var errNoRoute = errors.New("no route")
+var errNoRoute = errors.New("no route to member")
 
-// in runs f on virtual time with a network of its own.
-func in(t *testing.T, f func(n *network)) {
+// simulate runs f in virtual time with a new network.
+func simulate(t *testing.T, f func(n *network)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		data, _ := version(0)
 		n := &network{
-			g: NewWithT(t), ctx: ctx, vms: map[string]*vm{}, cut: map[string]bool{}, cross: map[string]int{},
+			g: NewWithT(t), ctx: ctx, vms: map[string]*vm{}, partitioned: map[string]bool{}, cross: map[string]int{},
 			origin: &fakeOrigin{data: data, reads: map[int]int{}, link: make(chan struct{}, 1)},
 		}
 		f(n)
@@ -230,7 +232,7 @@
 	return out
 }
 
-// start begins a download of m by each of list.
+// start starts a download of m by each member of list.
 func (n *network) start(m *weights.Manifest, list []swarm.Member) {
 	for _, x := range list {
 		n.join(m, x, list)
@@ -241,12 +243,12 @@
 	n.begin(x, weights.NewSet(m), list)
 }
 
-// resume begins another download of what x holds a part of.
+// resume starts a new download of the set that x already holds in part.
 func (n *network) resume(x swarm.Member, list []swarm.Member) {
 	n.begin(x, n.get(x.VM).set, list)
 }
 
-// begin begins a download of set by x.
+// begin starts a download of set by x.
 func (n *network) begin(x swarm.Member, set *weights.Set, list []swarm.Member) {
 	v := &vm{member: x, set: set, done: make(chan error, 1), up: make(chan struct{}, 1), down: make(chan struct{}, 1)}
 	ctx, cancel := context.WithCancel(n.ctx)
@@ -256,7 +258,7 @@
 		swarm.WithOriginBudget(originRate, swarm.DefaultCopies),
 		swarm.WithRand(rand.New(rand.NewPCG(seed, 1))),
 	}, n.options...)
-	v.download = swarm.NewDownload(x, list, v.set, &dialled{n: n, from: x, own: v}, ownLink{n.origin, v}, opts...)
+	v.download = swarm.NewDownload(x, list, v.set, &memberTransport{n: n, from: x, own: v}, linkedOrigin{n.origin, v}, opts...)
 	n.mu.Lock()
 	n.vms[x.VM] = v
 	n.mu.Unlock()
@@ -275,18 +277,19 @@
 	v.cancel()
 }
 
-// finish waits until every living VM is complete, for at most limit.
+// finish waits for at most limit until the download of every VM that is not dead is complete, and
+// returns how long that took.
 func (n *network) finish(limit time.Duration) time.Duration {
-	return n.finishBut(limit, "")
+	return n.finishExcept(limit, "")
 }
 
-// finishBut waits until every living VM but one is complete, for at most limit.
-func (n *network) finishBut(limit time.Duration, but string) time.Duration {
+// finishExcept is like finish, but ignores the excluded VM.
+func (n *network) finishExcept(limit time.Duration, excluded string) time.Duration {
 	began := time.Now()
 	n.mu.Lock()
 	var list []*vm
 	for _, v := range n.vms {
-		if dead, _, _ := v.state(); !dead && v.member.VM != but {
+		if dead, _, _ := v.state(); !dead && v.member.VM != excluded {
 			list = append(list, v)
 		}
 	}
@@ -296,25 +299,26 @@
 		case err := <-v.done:
 			n.g.Expect(err).NotTo(HaveOccurred(), v.member.VM)
 		case <-time.After(limit - time.Since(began)):
-			n.g.Expect(v.download.Stats()).To(BeNil(), v.member.VM+" is not complete in time")
+			n.g.Expect(v.download.Stats()).To(BeNil(), v.member.VM+" is not complete within the limit")
 		}
 		n.g.Expect(v.set.VerifyWhole()).To(Succeed())
 	}
 	return time.Since(began)
 }
 
-// dialled is the network as one member sees it.
-type dialled struct {
+// memberTransport is the Transport of one member.
+type memberTransport struct {
 	n    *network
 	from swarm.Member
 	own  *vm
 }
 
-// reach returns the VM at m, or an error after the time that finding out takes.
-func (d *dialled) reach(ctx context.Context, m swarm.Member) (*vm, error) {
+// reach returns the VM of m. For an unreachable VM it returns an error, at once or if its link is
+// stalled or partitioned, once ctx is done.
+func (d *memberTransport) reach(ctx context.Context, m swarm.Member) (*vm, error) {
 	v := d.n.get(m.VM)
 	d.n.mu.Lock()
-	cut := d.from.Region != m.Region && (d.n.cut[d.from.Region] || d.n.cut[m.Region])
+	cut := d.from.Region != m.Region && (d.n.partitioned[d.from.Region] || d.n.partitioned[m.Region])
 	d.n.mu.Unlock()
 	if v == nil {
 		return nil, errNoRoute
@@ -330,7 +334,7 @@
 	return v, nil
 }
 
-func (d *dialled) Have(ctx context.Context, m swarm.Member, _ weights.Digest, since int) ([]int, error) {
+func (d *memberTransport) Have(ctx context.Context, m swarm.Member, _ weights.Digest, since int) ([]int, error) {
 	v, err := d.reach(ctx, m)
 	if err != nil {
 		return nil, err
@@ -348,12 +352,12 @@
 	return list, nil
 }
 
-func (d *dialled) Chunk(ctx context.Context, m swarm.Member, _ weights.Digest, i int) ([]byte, error) {
+func (d *memberTransport) Chunk(ctx context.Context, m swarm.Member, _ weights.Digest, i int) ([]byte, error) {
 	v, err := d.reach(ctx, m)
 	if err != nil {
 		return nil, err
 	}
-	if !d.n.express {
+	if !d.n.priorityReplies {
 		if err := v.reply(ctx); err != nil {
 			return nil, err
 		}
--- a/swarm/fetch.go
+++ b/swarm/fetch.go
@@ -6,37 +6,39 @@
 	"time"
 )
 
-// When a chunk from a neighbour is late, in usual times of a chunk.
+// Timeouts of chunk requests to neighbours, relative to the expected chunk time.
 const (
-	// slowFactor is after how many a chunk is asked for once more.
+	// slowFactor times the expected chunk time is when a chunk is requested from a second
+	// neighbour.
 	slowFactor = 3
-	// stallFactor is after how many the request is given up.
+	// stallFactor times the expected chunk time is when a request times out.
 	stallFactor = 8
-	// busyDivisor makes a neighbour whose slots are full be left alone for half of a usual
-	// time.
+	// busyDivisor sets the pause after a busy neighbour refused a request to half of the
+	// expected chunk time.
 	busyDivisor = 2
-	// smoothing is the weight of the newest sample in the usual time: about the last five
-	// count.
+	// smoothing is the weight of the newest sample in the moving average of chunk times:
+	// about the last five samples count.
 	smoothing = 0.2
 )
 
-// fetchMore asks neighbours for chunks while there are places for them.
+// fetchMore requests chunks from neighbours up to the limit of parallel requests.
+// The caller holds the lock.
 func (d *Download) fetchMore(ctx context.Context) {
 	now := time.Now()
 	for d.outstanding()+d.schedule.countReading(false) < d.parallel() {
-		c, i, ok := d.avail.pick(now, d.cfg.PerNeighbour, slowFactor*d.usualTime())
+		c, i, ok := d.avail.pick(now, d.cfg.PerNeighbour, slowFactor*d.expectedChunkTime())
 		if !ok {
 			return
 		}
 		d.avail.begin(c, i, now)
 		d.inflight.Add(1)
-		late := lagLimit(d.usualTime(), d.cfg.MinTimeout)
-		go d.fetch(ctx, c, i, d.avail.neighbours[i].member, late, d.giveUpLimit())
+		late := stragglerThreshold(d.expectedChunkTime(), d.cfg.MinTimeout)
+		go d.fetch(ctx, c, i, d.avail.neighbours[i].member, late, d.chunkTimeout())
 	}
 }
 
-// parallel returns how many chunks may come from other VMs at once: from neighbours, and
-// from the readers of other regions.
+// parallel returns how many chunks may be requested from other VMs at once: from
+// neighbours and from the readers of other regions. The caller holds the lock.
 func (d *Download) parallel() int {
 	if d.link.Congested() {
 		return max(1-len(d.schedule.reading), 0)
@@ -44,7 +46,8 @@
 	return d.cfg.Parallel
 }
 
-// outstanding returns how many requests to neighbours are under way.
+// outstanding returns the number of requests to neighbours in flight.
+// The caller holds the lock.
 func (d *Download) outstanding() int {
 	n := 0
 	for i := range d.avail.neighbours {
@@ -53,33 +56,36 @@
 	return n
 }
 
-// usualTime is how long a chunk from a neighbour takes of late.
-func (d *Download) usualTime() time.Duration {
-	return max(d.usual, d.cfg.MinTimeout/stallFactor)
+// expectedChunkTime returns the moving average of the time that a chunk from a neighbour
+// takes, with a lower bound. The caller holds the lock.
+func (d *Download) expectedChunkTime() time.Duration {
+	return max(d.meanChunkTime, d.cfg.MinTimeout/stallFactor)
 }
 
-// giveUpLimit returns after how long a chunk from a neighbour is given up. Over a narrow
-// link of one's own it is longer by what earlier chunks took there: each that was given
-// up sooner filled the link for nothing, and the VM got none while the link was narrow.
-func (d *Download) giveUpLimit() time.Duration {
-	limit := stallFactor * d.usualTime()
+// chunkTimeout returns the timeout of a chunk request to a neighbour. If this VM's own link
+// is congested, the timeout also allows for the time that earlier chunks took on it: shorter
+// timeouts wasted the link's bandwidth on abandoned chunks, and the VM received none while
+// the link was narrow. The caller holds the lock.
+func (d *Download) chunkTimeout() time.Duration {
+	limit := stallFactor * d.expectedChunkTime()
 	if d.link.Congested() {
-		limit = max(limit, slowFactor*d.link.Usual())
+		limit = max(limit, slowFactor*d.link.MeanTime())
 	}
 	return limit
 }
 
-// fetch gets chunk c from neighbour i, who lags after late. It is given up after limit.
+// fetch requests chunk c from neighbour i, with limit as the timeout. If no reply has come
+// after late, the neighbour is marked as a straggler.
 func (d *Download) fetch(ctx context.Context, c, i int, m Member, late, limit time.Duration) {
 	defer d.inflight.Done()
 	began := time.Now()
 	defer time.AfterFunc(late, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.lag(m)
+		d.markStraggler(m)
 	}).Stop()
 	fctx, cancel := context.WithTimeout(ctx, limit)
-	b, together, err := d.getChunk(fctx, m, c)
+	b, concurrent, err := d.getChunk(fctx, m, c)
 	cancel()
 	took := time.Since(began)
 	if ctx.Err() != nil {
@@ -88,88 +94,89 @@
 	var refused *RefusalError
 	d.mu.Lock()
 	if !errors.As(err, &refused) {
-		d.link.Took(d.linkTime(took, err), together)
+		d.link.Observe(d.linkSample(took, err), concurrent)
 	}
 	d.avail.end(c, i)
 	d.mu.Unlock()
 	defer d.signal()
 	switch {
 	case err == nil:
-		d.arrived(c, i, m, b, took, took < late)
+		d.handleChunk(c, i, m, b, took, took < late)
 	case errors.As(err, &refused):
-		d.refused(c, i, m, refused)
+		d.handleRefusal(c, i, m, refused)
 	default:
-		d.failed(c, i, m, err)
+		d.handleFailure(c, i, m, err)
 	}
 }
 
-// linkTime returns what the time of a chunk says of the own link. One that was given up
-// may never have been sent: counted whole, each silent neighbour would make the next be
-// waited for longer still.
-func (d *Download) linkTime(took time.Duration, err error) time.Duration {
+// linkSample returns the sample for the link meter from a request that took the given time.
+// A failed request is capped at MinTimeout, since the chunk may never have been sent:
+// otherwise each unresponsive neighbour would lengthen the timeout of the next request.
+func (d *Download) linkSample(took time.Duration, err error) time.Duration {
 	if err == nil {
 		return took
 	}
 	return min(took, d.cfg.MinTimeout)
 }
 
-// getChunk asks m for chunk c. It also returns how many chunks shared this VM's link.
+// getChunk requests chunk c from m. It also returns the number of requests, including this
+// one, that shared this VM's link when it ended.
 func (d *Download) getChunk(ctx context.Context, m Member, c int) ([]byte, int, error) {
 	d.link.Begin()
 	b, err := d.peers.Chunk(ctx, m, d.set.Root(), c)
 	return b, d.link.End(), err
 }
 
-// arrived takes in chunk c from neighbour i, if it is as it should be.
-func (d *Download) arrived(c, i int, m Member, b []byte, took time.Duration, prompt bool) {
+// handleChunk stores chunk c from neighbour i if its digest matches the manifest.
+func (d *Download) handleChunk(c, i int, m Member, b []byte, took time.Duration, prompt bool) {
 	n := len(b)
 	_, err := d.set.Put(c, b)
 	d.mu.Lock()
-	d.countPeer(m, n)
+	d.countPeerBytes(m, n)
 	if err != nil {
 		d.avail.holders[c] &^= 1 << i
-		d.blame(m)
+		d.recordCorrupt(m)
 		d.mu.Unlock()
-		d.strike(i, m)
+		d.recordFailure(i, m)
 		return
 	}
 	defer d.mu.Unlock()
 	d.avail.have[c] = true
 	if prompt {
-		delete(d.laggards, m.VM)
+		delete(d.stragglers, m.VM)
 	}
 	d.stats.Blocked = ""
-	if d.usual == 0 {
-		d.usual = took
+	if d.meanChunkTime == 0 {
+		d.meanChunkTime = took
 	}
-	d.usual += time.Duration(smoothing * float64(took-d.usual))
+	d.meanChunkTime += time.Duration(smoothing * float64(took-d.meanChunkTime))
 	if d.avail.neighbours[i].member == m {
-		d.avail.neighbours[i].strikes = 0
+		d.avail.neighbours[i].failures = 0
 	}
 }
 
-// countPeer counts n bytes from m. The caller holds the lock.
-func (d *Download) countPeer(m Member, n int) {
+// countPeerBytes adds n bytes received from m to the statistics. The caller holds the lock.
+func (d *Download) countPeerBytes(m Member, n int) {
 	d.stats.PeerBytes += int64(n)
 	if m.Region != d.self.Region {
 		d.delays.OtherRegionBytes += int64(n)
 	}
 }
 
-// blame notes a corrupt chunk from m. The caller holds the lock.
-func (d *Download) blame(m Member) {
+// recordCorrupt counts a corrupt chunk from m. The caller holds the lock.
+func (d *Download) recordCorrupt(m Member) {
 	d.stats.CorruptPeer++
 	d.corrupt[m.VM]++
 }
 
-// barred returns whether m gave too many corrupt chunks. The caller holds the
-// lock.
-func (d *Download) barred(m Member) bool {
+// banned reports whether m has sent maxCorrupt corrupt chunks. The caller holds the lock.
+func (d *Download) banned(m Member) bool {
 	return d.corrupt[m.VM] >= maxCorrupt
 }
 
-// refused notes that neighbour i, who is well, does not send chunk c.
-func (d *Download) refused(c, i int, m Member, e *RefusalError) {
+// handleRefusal handles neighbour i declining to send chunk c. Unlike a failure, a refusal
+// does not count against the neighbour.
+func (d *Download) handleRefusal(c, i int, m Member, e *RefusalError) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := &d.avail.neighbours[i]
@@ -177,19 +184,19 @@
 		return
 	}
 	if e.Refusal == RefusalBusy {
-		n.until = time.Now().Add(d.usualTime() / busyDivisor)
+		n.retryAt = time.Now().Add(d.expectedChunkTime() / busyDivisor)
 		return
 	}
 	d.avail.holders[c] &^= 1 << i
 }
 
-// failed notes that chunk c did not come from neighbour i.
-func (d *Download) failed(c, i int, m Member, err error) {
+// handleFailure handles a request for chunk c to neighbour i that failed or timed out.
+func (d *Download) handleFailure(c, i int, m Member, err error) {
 	d.mu.Lock()
 	if errors.Is(err, context.DeadlineExceeded) {
 		d.stats.Stalled++
 	}
 	d.avail.holders[c] &^= 1 << i
 	d.mu.Unlock()
-	d.strike(i, m)
+	d.recordFailure(i, m)
 }
--- a/swarm/firstcopy_test.go
+++ b/swarm/firstcopy_test.go
@@ -9,21 +9,21 @@
 	"github.com/silverdeck/silverdeck/swarm"
 )
 
-// copyTime is how long the origin's link takes for one copy.
+// copyTime is the time that the origin's link takes for one copy.
 const copyTime = chunks * chunkTime / 2
 
-// fleetOptions are those of a fleet whose time limit is short: readers wait little for each
-// other, and there is no ceiling on copies.
+// fleetOptions returns the options of a fleet with a short time limit for new versions: readers
+// wait only briefly for each other, and the number of copies is in effect unlimited.
 func fleetOptions(members int) []swarm.Option {
 	return []swarm.Option{
 		swarm.WithOriginBudget(originRate, float64(members+1)),
-		swarm.WithLateness(copyTime / 6),
+		swarm.WithTakeoverDelay(copyTime / 6),
 		swarm.WithMinTimeout(copyTime / 3),
 		swarm.WithParallel(3, 1),
 	}
 }
 
-// regions returns each VMs in so many regions.
+// regions returns the members of n regions with each VMs per region.
 func regions(n, each int) []swarm.Member {
 	var out []swarm.Member
 	for i := range n {
@@ -32,50 +32,51 @@
 	return out
 }
 
-// distinct returns how many chunks have left the origin at least once.
-func (o *fakeOrigin) distinct() int {
+// distinctReads returns the number of chunks that have been read at least once.
+func (o *fakeOrigin) distinctReads() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.reads)
 }
 
-// expectAllLeft checks that all chunks had left the origin, by so many reads, and that n
-// regions had them less than limit later.
-func expectAllLeft(t *testing.T, n, left, reads int, took, limit time.Duration) {
+// expectAllRead checks that all chunks have been read from the origin and that all n regions were
+// complete less than limit later.
+func expectAllRead(t *testing.T, n, distinct, reads int, took, limit time.Duration) {
 	t.Helper()
-	t.Logf("%d regions: %d of %d chunks left the origin by %d reads; whole everywhere %v later", n, left, chunks, reads, took)
+	t.Logf("%d regions: %d of %d chunks read from the origin in %d reads; all VMs complete %v later", n, distinct, chunks, reads, took)
 	g := NewWithT(t)
-	g.Expect(left).To(Equal(chunks), "%d regions", n)
+	g.Expect(distinct).To(Equal(chunks), "%d regions", n)
 	g.Expect(took).To(BeNumerically("<", limit), "%d regions", n)
 }
 
-// The origin died two and a half seconds after a version was named. In that time its link
-// could have carried two copies; it had carried some chunks five times, one for each region
-// whose reader had not waited, and others not at all, so that nobody had the version.
+// Guards against regions reading further copies of a chunk before every chunk has been read once.
+// An origin failed 2.5 s after a version was published, long enough for two copies. Some chunks had
+// been read five times, once per region whose reader had not waited, and others not at all, so
+// that no VM could complete the version.
 func TestEachChunkLeavesTheOriginOnceBeforeAnyLeavesItTwice(t *testing.T) {
 	for _, n := range []int{2, 3, 5} {
-		left, reads := 0, 0
+		distinct, reads := 0, 0
 		var took time.Duration
-		in(t, func(net *network) {
+		simulate(t, func(net *network) {
 			_, m := version(0)
 			list := regions(n, 8)
 			net.options = fleetOptions(len(list))
 			net.start(m, list)
 			time.Sleep(copyTime * 13 / 10)
-			left, reads = net.origin.distinct(), net.origin.readCount()
-			if left == chunks {
+			distinct, reads = net.origin.distinctReads(), net.origin.readCount()
+			if distinct == chunks {
 				net.origin.set(func(o *fakeOrigin) { o.down = true })
 			}
 			took = net.finish(time.Minute)
 		})
-		expectAllLeft(t, n, left, reads, took, 2*bound)
+		expectAllRead(t, n, distinct, reads, took, 2*minDuration)
 	}
 }
 
-// A region does not wait for another's reader for ever: where all of that region is gone,
-// it reads by itself once the first copy has had its time.
-func TestARegionThatIsGoneHoldsNoOtherUpForLong(t *testing.T) {
-	in(t, func(net *network) {
+// A region waits for another region's reader only for the time of one copy. If all VMs of that
+// region are gone, it reads the chunks from the origin itself.
+func TestARegionThatIsGoneDelaysOthersOnlyBriefly(t *testing.T) {
+	simulate(t, func(net *network) {
 		_, m := version(0)
 		list := regions(3, 8)
 		net.options = fleetOptions(len(list))
@@ -84,19 +85,19 @@
 			net.kill(x.VM)
 		}
 		took := net.finish(time.Minute)
-		t.Logf("whole after %v, a copy takes %v", took, copyTime)
+		t.Logf("complete after %v; one copy takes %v", took, copyTime)
 		net.g.Expect(took).To(BeNumerically("<", 5*copyTime))
 	})
 }
 
-// What leaves the origin is a little more than one copy, and what comes over the links
-// between regions little more than one for each region that is not the first. Plays differ
-// by who comes first among goroutines at one moment, so that the sum of some counts.
+// The origin is read for little more than one copy, and little more than one copy crosses into each
+// further region. Runs differ by the order in which goroutines are scheduled at the same instant,
+// so the test checks the sum over several runs.
 func TestAChunkCrossesIntoARegionOnce(t *testing.T) {
-	const plays = 10
+	const runs = 10
 	reads, crossed := 0, 0
-	for range plays {
-		in(t, func(net *network) {
+	for range runs {
+		simulate(t, func(net *network) {
 			_, m := version(0)
 			list := regions(3, 8)
 			net.options = fleetOptions(len(list))
@@ -108,16 +109,17 @@
 			reads += net.origin.readCount()
 		})
 	}
-	t.Logf("of %d chunks %d crossed, %d reads of the origin", plays*chunks, crossed, reads)
+	t.Logf("%d chunks: %d transfers between regions, %d origin reads", runs*chunks, crossed, reads)
 	g := NewWithT(t)
-	g.Expect(reads).To(BeNumerically("<=", plays*chunks*7/5))
-	g.Expect(crossed).To(BeNumerically("<=", plays*2*chunks*5/4))
+	g.Expect(reads).To(BeNumerically("<=", runs*chunks*7/5))
+	g.Expect(crossed).To(BeNumerically("<=", runs*2*chunks*5/4))
 }
 
-// A newer version was named while the first copies of this one left the origin, and all VMs
-// turned to the newer one. Then the origin died: nobody had all of either.
-func TestFirstCopiesAreBroughtInWithoutAnythingElse(t *testing.T) {
-	in(t, func(net *network) {
+// Guards against an incomplete version after a newer one replaces it. A newer version was published
+// while the first copies of this one were being read, and all VMs switched to it. When the origin
+// then failed, the VMs together held neither version completely.
+func TestFirstCopiesAreReadWithoutOtherChunks(t *testing.T) {
+	simulate(t, func(net *network) {
 		_, m := version(0)
 		list := regions(3, 8)
 		net.options = fleetOptions(len(list))
@@ -132,13 +134,13 @@
 		for _, x := range list {
 			net.resume(x, list)
 		}
-		net.g.Expect(net.origin.distinct()).To(BeNumerically("<", chunks))
+		net.g.Expect(net.origin.distinctReads()).To(BeNumerically("<", chunks))
 		time.Sleep(copyTime * 6 / 10)
-		net.g.Expect(net.origin.distinct()).To(Equal(chunks))
-		net.g.Expect(net.origin.readCount()-before).To(BeNumerically("<=", chunks*6/10), "nothing is read twice")
+		net.g.Expect(net.origin.distinctReads()).To(Equal(chunks))
+		net.g.Expect(net.origin.readCount()-before).To(BeNumerically("<=", chunks*6/10), "no chunk is read twice")
 		for _, x := range list {
 			v := net.get(x.VM)
-			net.g.Expect(<-v.done).To(Succeed(), "it ends with its own")
+			net.g.Expect(<-v.done).To(Succeed(), "download ends with its own chunks")
 			net.g.Expect(v.set.Complete()).To(BeFalse())
 		}
 	})
--- a/swarm/member.go
+++ b/swarm/member.go
@@ -1,15 +1,14 @@
-// Package swarm moves chunks of weights from the origin to the VMs that want them
-// and between these, without a leader.
+// Package swarm distributes chunks of weights from an origin to VMs and among these VMs, without
+// a coordinator.
 //
-// Every member computes from the list of members alone who reads which chunk
-// from the origin (schedule.go) and who its neighbours are (ring.go). A chunk
-// enters a region through its designated reader (obtain.go, readorigin.go) and
-// spreads from neighbour to neighbour, rarest first (fetch.go). Nothing here needs
-// the platform.
+// Every member derives from the list of members alone which member reads which chunk from the
+// origin (schedule.go) and which members are its neighbours (ring.go). A chunk enters a region
+// through its designated reader (obtain.go, readorigin.go) and spreads from neighbour to
+// neighbour, rarest first (fetch.go). The package does not depend on the platform.
 //
-// A Download owns the state of one version on one VM, under one lock. It relies on
-// a Transport to other members and on an Origin. Members are sent by gob, which
-// puts the names of type, fields and package on the wire.
+// A Download holds the state of one version on one VM, guarded by one lock. It uses a Transport
+// to reach other members and an Origin to read chunks. Member is encoded with gob, which writes
+// the names of the package, the type and its fields.
 package swarm
 
 import (
@@ -21,7 +20,7 @@
 	"github.com/silverdeck/silverdeck/weights"
 )
 
-// Member is a VM that takes part in a distribution.
+// Member is a VM that takes part in the distribution of a version.
 type Member struct {
 	VM     string
 	Addr   string
@@ -29,10 +28,10 @@
 	Region string
 }
 
-// allChunks stands for the weights as a whole where a chunk is asked for.
+// allChunks is the chunk index that stands for the weights as a whole in score.
 const allChunks = -1
 
-// score orders members for a chunk by rendezvous hashing.
+// score returns the rendezvous hash of a chunk and a VM, by which members are ranked.
 func score(root weights.Digest, chunk int, vm string) uint64 {
 	var b [weights.DigestSize + 4]byte
 	copy(b[:], root[:])
@@ -46,7 +45,7 @@
 	return h.Sum64()
 }
 
-// ranked returns the first n of members for a chunk, best first.
+// ranked returns the n members with the highest scores for a chunk, in descending order.
 func ranked(root weights.Digest, chunk int, members []Member, n int) []Member {
 	type scored struct {
 		s uint64
--- a/swarm/neighbours.go
+++ b/swarm/neighbours.go
@@ -8,123 +8,126 @@
 	"github.com/silverdeck/silverdeck/wait"
 )
 
-// When neighbours are replaced.
+// Polling and replacement of neighbours.
 const (
-	// haveTimeout is how long a neighbour may take to tell its news; it waits for some up
-	// to a second.
+	// haveTimeout is the timeout of a Have call. The callee itself waits up to a second for
+	// new chunks.
 	haveTimeout = 5 * time.Second
-	// faultPause is how long a neighbour is not asked after a fault, for each fault in a
-	// row.
-	faultPause = 500 * time.Millisecond
-	// maxStrikes is how many faults in a row replace a neighbour.
-	maxStrikes = 3
-	// maxCorrupt is how many corrupt chunks bar a member for the rest of the download: one
-	// may be an accident.
+	// failureBackoff is the pause in requests to a neighbour after a failure, multiplied by
+	// the number of consecutive failures.
+	failureBackoff = 500 * time.Millisecond
+	// maxFailures is the number of consecutive failures after which a neighbour is replaced.
+	maxFailures = 3
+	// maxCorrupt is the number of corrupt chunks after which a member is banned for the rest
+	// of the download. A single one may be accidental.
 	maxCorrupt = 2
 )
 
-// freshCandidates returns the members that are not neighbours yet.
-func (d *Download) freshCandidates() []Member {
+// unusedCandidates returns the candidates that are neither active neighbours nor banned.
+func (d *Download) unusedCandidates() []Member {
 	var out []Member
 	for _, m := range candidates(d.set.Root(), d.self, d.members, d.cfg.Degree) {
-		used := slices.ContainsFunc(d.avail.neighbours, func(n neighbour) bool { return n.member.VM == m.VM && n.up })
-		if !used && !d.barred(m) {
+		used := slices.ContainsFunc(d.avail.neighbours, func(n neighbour) bool { return n.member.VM == m.VM && n.active })
+		if !used && !d.banned(m) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// fillNeighbours gives every free place to the next candidate.
+// fillNeighbours fills free neighbour slots with standby members. The caller holds the lock.
 func (d *Download) fillNeighbours(ctx context.Context) {
 	for i := range d.avail.neighbours {
-		if !d.avail.neighbours[i].up && d.avail.neighbours[i].outstanding == 0 && len(d.standby) > 0 {
-			d.adopt(ctx, i)
+		if !d.avail.neighbours[i].active && d.avail.neighbours[i].outstanding == 0 && len(d.standby) > 0 {
+			d.replaceNeighbour(ctx, i)
 		}
 	}
 	for len(d.avail.neighbours) < d.cfg.Degree && len(d.standby) > 0 {
 		d.avail.neighbours = append(d.avail.neighbours, neighbour{})
-		d.adopt(ctx, len(d.avail.neighbours)-1)
+		d.replaceNeighbour(ctx, len(d.avail.neighbours)-1)
 	}
 }
 
-// adopt makes the next candidate neighbour i and begins to listen to it.
-func (d *Download) adopt(ctx context.Context, i int) {
+// replaceNeighbour puts the next standby member into slot i and starts to poll it.
+// The caller holds the lock.
+func (d *Download) replaceNeighbour(ctx context.Context, i int) {
 	m := d.standby[0]
 	d.standby = d.standby[1:]
-	d.avail.forget(i)
-	d.avail.neighbours[i] = neighbour{member: m, up: true}
+	d.avail.clearHoldings(i)
+	d.avail.neighbours[i] = neighbour{member: m, active: true}
 	d.inflight.Add(1)
-	go d.listen(ctx, i, m)
+	go d.pollHoldings(ctx, i, m)
 }
 
-// listen keeps up with what neighbour i holds until it is replaced.
-func (d *Download) listen(ctx context.Context, i int, m Member) {
+// pollHoldings polls neighbour i for the chunks that it holds until it is replaced.
+func (d *Download) pollHoldings(ctx context.Context, i int, m Member) {
 	defer d.inflight.Done()
 	since := 0
 	for ctx.Err() == nil {
 		hctx, cancel := context.WithTimeout(ctx, haveTimeout)
-		news, err := d.peers.Have(hctx, m, d.set.Root(), since)
+		chunks, err := d.peers.Have(hctx, m, d.set.Root(), since)
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil {
-			since += len(news)
-			if !d.heard(i, m, news) {
+			since += len(chunks)
+			if !d.recordHoldings(i, m, chunks) {
 				return
 			}
 			continue
 		}
-		if d.strike(i, m) {
+		if d.recordFailure(i, m) {
 			return
 		}
 		since = 0
-		if !wait.For(ctx, faultPause) {
+		if !wait.For(ctx, failureBackoff) {
 			return
 		}
 	}
 }
 
-// heard notes news of neighbour i and returns whether m still is that neighbour.
-func (d *Download) heard(i int, m Member, news []int) bool {
+// recordHoldings records the chunks that neighbour i newly holds. It reports whether m still
+// is that neighbour.
+func (d *Download) recordHoldings(i int, m Member, chunks []int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := &d.avail.neighbours[i]
-	if n.member != m || !n.up {
+	if n.member != m || !n.active {
 		return false
 	}
-	if len(news) > 0 {
-		n.strikes = 0
+	if len(chunks) > 0 {
+		n.failures = 0
 	}
-	for _, c := range news {
+	for _, c := range chunks {
 		if c >= 0 && c < len(d.avail.holders) {
 			d.avail.holders[c] |= 1 << i
 		}
 	}
-	if len(news) > 0 {
+	if len(chunks) > 0 {
 		d.signal()
 	}
 	return true
 }
 
-// strike notes a fault of neighbour i and returns whether it lost its place.
-func (d *Download) strike(i int, m Member) bool {
+// recordFailure counts a failure of neighbour i. It reports whether m no longer is that
+// neighbour.
+func (d *Download) recordFailure(i int, m Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := &d.avail.neighbours[i]
-	if n.member != m || !n.up {
+	if n.member != m || !n.active {
 		return true
 	}
-	n.strikes++
-	n.until = time.Now().Add(time.Duration(n.strikes) * faultPause)
-	if n.strikes < maxStrikes && !d.barred(m) {
+	n.failures++
+	n.retryAt = time.Now().Add(time.Duration(n.failures) * failureBackoff)
+	if n.failures < maxFailures && !d.banned(m) {
 		return false
 	}
-	d.avail.forget(i)
-	n.up = false
+	d.avail.clearHoldings(i)
+	n.active = false
 	if len(d.standby) == 0 {
-		d.standby = d.freshCandidates()
+		d.standby = d.unusedCandidates()
 	}
 	d.signal()
 	return true
--- a/swarm/obtain.go
+++ b/swarm/obtain.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// How a member obtains chunks for its region.
+// Limits on how a member obtains chunks for its region.
 const (
-	// originParallel is how many chunks a member reads from the origin at once: one may
-	// stall.
+	// originParallel is how many chunks a member reads from the origin at once. It is more
+	// than one because a read may stall.
 	originParallel = 2
-	// defaultPatience is how often a chunk is left to a member that says it is about to
-	// read it: enough for that member's longest backoff.
-	defaultPatience = 10
-	// maxPostponedFar is the same for a member of another region. It is much less, so that
-	// of two members who wait for each other one gives up first.
-	maxPostponedFar = 2
-	// postponeDivisor makes a chunk be left alone for half the lateness, or half of what a
-	// member that stalls takes to be found out.
+	// defaultMaxPostponements is how often a chunk is postponed in favour of a member that
+	// reports that it is going to read it. It covers that member's longest backoff.
+	defaultMaxPostponements = 10
+	// maxRemotePostponements is the same limit for a member of another region. It is much
+	// lower, so that one of two members that wait for each other gives up first.
+	maxRemotePostponements = 2
+	// postponeDivisor sets the postponement to half of the takeover delay or of MinTimeout,
+	// after which a stalled member is detected, whichever is longer.
 	postponeDivisor = 2
-	// farPollDivisor makes the first reader of a region ask again for a chunk that another
-	// region reads after a fifth of the lateness: all VMs of its region wait for it.
-	farPollDivisor = 5
+	// remotePollDivisor makes the first reader of a region retry a chunk that another region
+	// reads after a fifth of the takeover delay, because all VMs of its region wait for it.
+	remotePollDivisor = 5
 )
 
-// startDue begins to obtain the chunks whose time has come: those that this region reads
-// first of all, and beside them those that it asks for elsewhere, so that the asking does
-// not keep the origin's link idle.
+// startDue starts to obtain the chunks that are due. Chunks of this region's home readers and
+// those of other regions are limited separately, so that requests to other regions do not
+// leave the origin's link idle. The caller holds the lock.
 func (d *Download) startDue(ctx context.Context) {
 	d.startDueOf(ctx, true)
 	d.startDueOf(ctx, false)
 }
 
-// startDueOf begins to obtain due chunks whose home reader is in this region, or those of
-// other regions.
+// startDueOf starts to obtain the due chunks whose home reader is in this region (home) or in
+// another one. The caller holds the lock.
 func (d *Download) startDueOf(ctx context.Context, home bool) {
 	now := time.Now()
 	s := &d.schedule
@@ -42,7 +42,7 @@
 	if s.faults > 0 || d.link.Congested() {
 		parallel = 1
 	}
-	prompt := d.prompt()
+	prompt := d.promptNeighbours()
 	for c := range s.due {
 		if s.countReading(home) >= parallel {
 			return
@@ -50,7 +50,7 @@
 		if d.cfg.FirstCopies && !s.firstOfAll(c) {
 			continue
 		}
-		if s.home[c] != home || now.Before(s.due[c]) || d.avail.have[c] || s.reading[c] || d.avail.expected(c, prompt) {
+		if s.home[c] != home || now.Before(s.due[c]) || d.avail.have[c] || s.reading[c] || d.avail.obtainable(c, prompt) {
 			continue
 		}
 		s.reading[c] = true
@@ -59,8 +59,8 @@
 	}
 }
 
-// countReading returns how many chunks are being obtained whose home reader is in this
-// region, or in another.
+// countReading returns the number of chunks being obtained whose home reader is in this region
+// (home) or in another one.
 func (s *schedule) countReading(home bool) int {
 	n := 0
 	for c := range s.reading {
@@ -71,8 +71,7 @@
 	return n
 }
 
-// obtain gets chunk c from the members that should read it earlier, or else from
-// the origin.
+// obtain fetches chunk c from the members that should read it earlier, or else from the origin.
 func (d *Download) obtain(ctx context.Context, c int, earlier []Member, rank int) {
 	defer d.inflight.Done()
 	defer d.signal()
@@ -84,23 +83,23 @@
 	}()
 	for _, m := range earlier {
 		d.mu.Lock()
-		passed := d.barred(m) || d.lags(m)
+		passed := d.banned(m) || d.skips(m)
 		d.mu.Unlock()
 		if passed {
 			continue
 		}
-		switch d.askReader(ctx, c, m) {
-		case readerGave:
+		switch d.fetchFromReader(ctx, c, m) {
+		case readerDelivered:
 			return
-		case readerIsReading:
+		case readerPending:
 			if d.mayPostpone(c, m) {
 				d.postpone(c)
 				return
 			}
-		case readerLacks:
+		case readerUnavailable:
 		}
 	}
-	if d.originFails() && d.askOtherRegions(ctx, c) {
+	if d.originFailing() && d.fetchFromOtherRegions(ctx, c) {
 		return
 	}
 	if d.waitsForFirstCopy(c) {
@@ -110,70 +109,70 @@
 	d.readOrigin(ctx, c, rank)
 }
 
-// waitsForFirstCopy returns whether chunk c is left to the region that reads it first.
+// waitsForFirstCopy reports whether this member has to leave chunk c to the region of its home
+// reader for now.
 func (d *Download) waitsForFirstCopy(c int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return time.Now().Before(d.schedule.originAt[c])
 }
 
-// readerAnswer is what a member says that should have read a chunk.
-type readerAnswer int
+// readerResult is the result of requesting a chunk from a member that should have read it.
+type readerResult int
 
-// The answers.
 const (
-	// readerLacks means that the member does not have the chunk, or can't be asked.
-	readerLacks readerAnswer = iota
-	// readerGave means that the chunk came and is as it should be.
-	readerGave
-	// readerIsReading means that the chunk may be had there soon.
-	readerIsReading
+	// readerUnavailable means that the member does not hold the chunk, is unreachable, or
+	// sent corrupt data.
+	readerUnavailable readerResult = iota
+	// readerDelivered means that the chunk was received and verified.
+	readerDelivered
+	// readerPending means that the member may have the chunk soon.
+	readerPending
 )
 
-// askReader asks m, who should have read chunk c from the origin, for it. One that does
-// not answer in time may be reading; it is passed over from then on.
-func (d *Download) askReader(ctx context.Context, c int, m Member) readerAnswer {
-	actx, cancel := context.WithTimeout(ctx, d.readerLimit())
+// fetchFromReader requests chunk c from m, which should have read it from the origin. A member
+// that does not reply in time may still be reading the chunk, but is marked as a straggler.
+func (d *Download) fetchFromReader(ctx context.Context, c int, m Member) readerResult {
+	actx, cancel := context.WithTimeout(ctx, d.readerTimeout())
 	defer cancel()
 	b, _, err := d.getChunk(actx, m, c)
 	var refused *RefusalError
 	if errors.As(err, &refused) && refused.Refusal != RefusalAbsent {
-		return readerIsReading
+		return readerPending
 	}
 	if errors.Is(err, context.DeadlineExceeded) && ctx.Err() == nil {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.lag(m)
-		return readerIsReading
+		d.markStraggler(m)
+		return readerPending
 	}
 	if err != nil {
-		return readerLacks
+		return readerUnavailable
 	}
 	n := len(b)
 	_, err = d.set.Put(c, b)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.countPeer(m, n)
+	d.countPeerBytes(m, n)
 	if err != nil {
-		d.blame(m)
-		return readerLacks
+		d.recordCorrupt(m)
+		return readerUnavailable
 	}
 	d.avail.have[c] = true
-	return readerGave
+	return readerDelivered
 }
 
-// readerLimit returns how long a reader may take to answer with a chunk.
-func (d *Download) readerLimit() time.Duration {
+// readerTimeout returns the timeout of a chunk request to a reader.
+func (d *Download) readerTimeout() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.link.Congested() {
-		return max(d.cfg.MinTimeout, slowFactor*d.link.Usual())
+		return max(d.cfg.MinTimeout, slowFactor*d.link.MeanTime())
 	}
 	return d.cfg.MinTimeout
 }
 
-// postpone leaves chunk c alone for half the lateness, or for half of what a
-// member that stalls takes to be found out.
+// postpone sets a later due time for chunk c; see postponeDivisor and remotePollDivisor.
 func (d *Download) postpone(c int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -181,19 +180,19 @@
 	if !time.Now().Before(d.schedule.originAt[c]) {
 		d.schedule.postponed[c]++
 	}
-	step := max(d.cfg.lateness(d.set.Manifest().Size), d.cfg.MinTimeout) / postponeDivisor
+	step := max(d.cfg.takeoverDelay(d.set.Manifest().Size), d.cfg.MinTimeout) / postponeDivisor
 	if !d.schedule.home[c] && d.schedule.rank[c] == 0 {
-		step = d.cfg.lateness(d.set.Manifest().Size) / farPollDivisor
+		step = d.cfg.takeoverDelay(d.set.Manifest().Size) / remotePollDivisor
 	}
 	d.schedule.due[c] = time.Now().Add(step)
 }
 
-// mayPostpone returns whether chunk c may be left to m once more.
+// mayPostpone reports whether chunk c may be postponed once more in favour of m.
 func (d *Download) mayPostpone(c int, m Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if m.Region != d.self.Region {
-		return d.schedule.postponed[c] < maxPostponedFar
+		return d.schedule.postponed[c] < maxRemotePostponements
 	}
-	return d.schedule.postponed[c] < d.cfg.Patience
+	return d.schedule.postponed[c] < d.cfg.MaxPostponements
 }
--- a/swarm/otherregions.go
+++ b/swarm/otherregions.go
@@ -2,31 +2,32 @@
 
 import "context"
 
-// originFails returns whether the origin failed when it was last asked.
-func (d *Download) originFails() bool {
+// originFailing reports whether the last read of the origin failed, or the origin has another
+// version.
+func (d *Download) originFailing() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.schedule.faults > 0 || d.schedule.changed
 }
 
-// askOtherRegions asks the first readers of other regions for chunk c, which may
-// have got it before the origin failed, and returns whether one gave it.
-func (d *Download) askOtherRegions(ctx context.Context, c int) bool {
-	for _, m := range d.readersElsewhere(c) {
-		if d.askReader(ctx, c, m) == readerGave {
+// fetchFromOtherRegions requests chunk c from its readers in other regions, which may have read
+// it before the origin failed. It reports whether the chunk was received.
+func (d *Download) fetchFromOtherRegions(ctx context.Context, c int) bool {
+	for _, m := range d.remoteReaders(c) {
+		if d.fetchFromReader(ctx, c, m) == readerDelivered {
 			return true
 		}
 	}
 	return false
 }
 
-// readersPerRegion is how many members of each other region are asked: the first may have
-// died with the origin.
+// readersPerRegion is how many readers of each other region are tried. It is more than one
+// because the first reader may have failed together with the origin.
 const readersPerRegion = 2
 
-// readersElsewhere returns the members of other regions that bring chunk c
-// into their region, without those that are barred.
-func (d *Download) readersElsewhere(c int) []Member {
+// remoteReaders returns the highest-ranked readers of chunk c in each other region, except
+// banned members.
+func (d *Download) remoteReaders(c int) []Member {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	seen := map[string]bool{d.self.Region: true}
@@ -37,7 +38,7 @@
 		}
 		seen[m.Region] = true
 		for _, reader := range ranked(d.set.Root(), c, inRegion(d.members, m.Region), readersPerRegion) {
-			if !d.barred(reader) {
+			if !d.banned(reader) {
 				out = append(out, reader)
 			}
 		}
--- a/swarm/outage_test.go
+++ b/swarm/outage_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// The origin was away for six seconds. On its return all VMs had all chunks due at once and
-// read several copies side by side, so that the first whole one took as long as four.
-func TestAfterAnOutageOfTheOriginEachChunkLeavesItOnceFirst(t *testing.T) {
+// Guards against concurrent reads of several copies after an outage of the origin. After six seconds
+// of outage all chunks were due at all VMs at once, and the VMs read several copies in parallel, so
+// that the first complete copy took as long as four.
+func TestAfterAnOutageEachChunkIsReadOnceBeforeAnyIsReadTwice(t *testing.T) {
 	for _, n := range []int{1, 3, 5} {
-		left, reads := 0, 0
+		distinct, reads := 0, 0
 		var took time.Duration
-		in(t, func(net *network) {
+		simulate(t, func(net *network) {
 			_, m := version(0)
 			list := regions(n, 16)
 			net.options = fleetOptions(len(list))
@@ -21,9 +22,9 @@
 			failed := net.origin.readCount()
 			net.origin.set(func(o *fakeOrigin) { o.down = false })
 			time.Sleep(copyTime * 2)
-			left, reads = net.origin.distinct(), net.origin.readCount()-failed
+			distinct, reads = net.origin.distinctReads(), net.origin.readCount()-failed
 			took = net.finish(time.Minute)
 		})
-		expectAllLeft(t, n, left, reads, took, 3*bound/2)
+		expectAllRead(t, n, distinct, reads, took, 3*minDuration/2)
 	}
 }
--- a/swarm/readorigin.go
+++ b/swarm/readorigin.go
@@ -7,14 +7,14 @@
 	"github.com/silverdeck/silverdeck/origin"
 )
 
-// maxOriginCorrupt is how many corrupt copies of a chunk from the origin make a member say
-// that it is blocked.
+// maxOriginCorrupt is the number of corrupt reads of a chunk from the origin after which the
+// download reports that it is blocked.
 const maxOriginCorrupt = 3
 
-// readOrigin reads chunk c from the origin within this member's budget.
+// readOrigin reads chunk c from the origin within this member's quota and rate limit.
 func (d *Download) readOrigin(ctx context.Context, c, rank int) {
 	off, n := d.set.Manifest().Range(c)
-	if !d.mayRead(c, n) {
+	if !d.reserveRead(c, n) {
 		d.postpone(c)
 		return
 	}
@@ -39,7 +39,7 @@
 	}
 	if d.schedule.faults > 0 {
 		d.schedule.faults = 0
-		d.schedule.beginAnew(d)
+		d.schedule.restart(d)
 	}
 	d.avail.have[c] = true
 	d.stats.Blocked = ""
@@ -48,13 +48,13 @@
 	}
 }
 
-// mayRead takes the n bytes of chunk c from the quota, if there are as many and the
-// origin may be asked now.
-func (d *Download) mayRead(c int, n int64) bool {
+// reserveRead deducts the n bytes of chunk c from the quota. It returns false if the quota is
+// too small or the origin may not be read now.
+func (d *Download) reserveRead(c int, n int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.schedule.open(n) {
-		d.explainClosed(n)
+	if !d.schedule.allowsRead(n) {
+		d.recordBlockReason(n)
 		return false
 	}
 	d.schedule.quota -= n
@@ -62,15 +62,16 @@
 	return true
 }
 
-// Reasons why a download is blocked.
+// Values of Stats.Blocked.
 const (
 	blockedChanged = "the origin no longer has this version; the rest can only come from other VMs"
 	blockedBudget  = "this member's share of the origin's budget is used up"
 	blockedCorrupt = "the origin's bytes do not match the manifest"
 )
 
-// explainClosed notes why the origin may not be asked. The caller holds the lock.
-func (d *Download) explainClosed(n int64) {
+// recordBlockReason sets Stats.Blocked if the origin has another version or the quota is below n
+// bytes. A backoff does not count as blocked. The caller holds the lock.
+func (d *Download) recordBlockReason(n int64) {
 	switch {
 	case d.schedule.changed:
 		d.stats.Blocked = blockedChanged
@@ -79,7 +80,7 @@
 	}
 }
 
-// originFailed notes a fault of the origin after read of n bytes, and backs off.
+// originFailed handles a failed origin read that returned read of n bytes, and backs off.
 func (d *Download) originFailed(err error, read, n int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,12 +94,13 @@
 		return
 	}
 	d.stats.Blocked = "origin: " + err.Error()
-	// It is the origin's fault that chunks are late, and no other member's.
-	s.beginAnew(d)
+	// The origin caused the delay, not the members that should have read chunks earlier.
+	s.restart(d)
 	s.backOff(d)
 }
 
-// originCorrupt notes a corrupt chunk from the origin. The caller holds the lock.
+// originCorrupt handles a corrupt chunk from the origin, and backs off.
+// The caller holds the lock.
 func (d *Download) originCorrupt(c int) {
 	s := &d.schedule
 	d.stats.CorruptOrigin++
--- a/swarm/ring.go
+++ b/swarm/ring.go
@@ -8,14 +8,15 @@
 	"github.com/silverdeck/silverdeck/weights"
 )
 
-// MaxDegree is the most neighbours a member has; availability fits one word.
+// MaxDegree is the maximum number of neighbours: availability keeps one bit per neighbour in a
+// uint32.
 const MaxDegree = 32
 
-// candidates returns the other members of self's region in the order in which
-// self prefers them as neighbours. The first degree of them form a graph of
-// small diameter in which every member has as many neighbours as it is a
-// neighbour of: offsets in a ring that grow geometrically, both ways. The ring
-// goes zone by zone, so near neighbours share an availability zone.
+// candidates returns the other members of self's region in the order in which self prefers them
+// as neighbours. The first degree candidates lie at geometrically growing offsets in a ring, in
+// both directions. They form a graph of small diameter in which the in-degree of every member
+// equals its out-degree. The ring is sorted by availability zone, so that near neighbours share
+// one.
 func candidates(root weights.Digest, self Member, members []Member, degree int) []Member {
 	ring := inRegion(members, self.Region)
 	slices.SortFunc(ring, func(a, b Member) int {
@@ -48,7 +49,7 @@
 	return out
 }
 
-// offsets returns k offsets that grow geometrically from 1 to n/2.
+// offsets returns k distinct offsets that grow geometrically from 1 to about n/2.
 func offsets(n, k int) []int {
 	out := make([]int, 0, k)
 	last := 0
--- a/swarm/schedule.go
+++ b/swarm/schedule.go
@@ -9,64 +9,64 @@
 	"github.com/silverdeck/silverdeck/weights"
 )
 
-// Who reads a chunk from the origin when the first in rank does not.
+// Takeover of chunks whose first reader does not read them from the origin.
 const (
-	// maxRanks is how many members of a region are named for a chunk, one after the other,
-	// before anybody may read it.
+	// maxRanks is how many members of a region are ranked as readers of a chunk, each a
+	// takeover delay after the one before. Unranked members may read it after them.
 	maxRanks = 4
-	// anybodySpread is over how many times the lateness the readings by anybody are spread,
-	// so that they do not come together.
-	anybodySpread = 16
-	// maxBackoffShift bounds the growth of the pause after faults of the origin: it doubles
-	// twice.
+	// unrankedSpread times the takeover delay is the interval over which reads by unranked
+	// members are spread, so that they do not coincide.
+	unrankedSpread = 16
+	// maxBackoffShift limits the exponential backoff after origin failures to two doublings.
 	maxBackoffShift = 2
-	// farStartDivisor makes a region ask for a chunk that another one reads first half of the
-	// lateness after its turn: about what it takes to be there.
-	farStartDivisor = 2
+	// remoteStartDivisor makes a region request a chunk that another region reads first half
+	// a takeover delay after the chunk's turn, which is about when the chunk has been read.
+	remoteStartDivisor = 2
 )
 
-// turnShare is the part of a chunk's time on the origin's link after which the next has its
-// turn. Readers come a little sooner than the link is free, so that it never waits for one
-// that has yet to connect or that was late itself.
+// turnShare is the interval between the turns of successive chunks, as a fraction of the
+// time that one chunk takes on the origin's link. It is below one so that the link does not
+// idle while a reader connects or starts late.
 const turnShare = 0.9
 
-// schedule decides which chunks this member reads from the origin for its region,
-// and when. It is guarded by the Download's lock.
+// schedule determines which chunks this member reads from the origin for its region, and
+// when. It is guarded by the Download's lock.
 type schedule struct {
-	// from is when the first chunk has its turn on the origin's link.
-	from time.Time
-	// due is when this member may obtain each chunk, earlier are the members to ask
-	// for it first, and rank is this member's place among its readers, 0 first.
+	// start is the time of the first chunk's turn on the origin's link.
+	start time.Time
+	// due is when this member may start to obtain each chunk, earlier lists the members to
+	// request it from before the origin, and rank is this member's rank among the chunk's
+	// readers in its region, starting at 0.
 	due     []time.Time
 	earlier [][]Member
 	rank    []int
-	// home is set for chunks that this member's region reads from the origin first of all.
+	// home marks chunks that this member's region is the first to read from the origin.
 	home []bool
-	// originAt is when this member may read each chunk from the origin; before, it only
-	// asks others for it.
+	// originAt is when this member may read each chunk from the origin; until then it only
+	// requests the chunk from other members.
 	originAt []time.Time
-	// reading marks chunks that are being obtained now; fromOrigin those of
-	// them that are being read from the origin.
+	// reading marks chunks that are being obtained, and fromOrigin those among them that
+	// are being read from the origin.
 	reading    map[int]bool
 	fromOrigin map[int]bool
 	corrupt    map[int]int
-	// postponed counts how often each chunk was left to another member.
+	// postponed counts how often each chunk was postponed in favour of another reader.
 	postponed map[int]int
-	// quota is how many bytes of the origin this member may still read.
+	// quota is how many bytes this member may still read from the origin.
 	quota   int64
 	limiter *rate.Limiter
-	// retryAt is when the origin may be asked again after a fault.
+	// retryAt is when the origin may be read again after a failure.
 	retryAt time.Time
-	// faults counts those of the origin in a row.
+	// faults counts consecutive origin failures.
 	faults int
-	// changed is set once the origin has another version.
+	// changed is set once the origin reports that it has another version.
 	changed bool
 }
 
 func newSchedule(d *Download) schedule {
 	n := len(d.set.Manifest().Chunks)
 	s := schedule{
-		from:    d.began.Add(-d.cfg.HeadStart),
+		start:   d.began.Add(-d.cfg.HeadStart),
 		due:     make([]time.Time, n),
 		earlier: make([][]Member, n),
 		rank:    make([]int, n),
@@ -82,16 +82,17 @@
 	}
 	s.assign(d)
 	s.quota = s.share(d)
-	// All of the burst is there from the start. A limiter that is made first and limited
-	// then has none of it where no time passes in between, and reads a chunk only in the
-	// time that the origin's link takes for one chunk of each member.
+	// The limiter is created with its final limits so that the full burst is available at
+	// once. A limiter whose limits are set after creation starts without burst if no time
+	// passes in between, and then reads one chunk in the time that the origin's link takes
+	// for one chunk per member.
 	s.limiter = rate.NewLimiter(s.limits(d))
 	return s
 }
 
-// limits returns what keeps this member to its part of the origin's link, in bytes a
-// second and bytes. What it may read in all may come at once: the turns already spread
-// that over time.
+// limits returns the rate limit and the burst for this member's share of the origin's link,
+// in bytes per second and bytes. The burst covers the whole quota, because the turns already
+// spread the reads over time.
 func (s *schedule) limits(d *Download) (rate.Limit, int) {
 	if d.cfg.OriginRate <= 0 {
 		return rate.Inf, 0
@@ -100,18 +101,19 @@
 	return rate.Limit(d.cfg.OriginRate / members), int(max(s.quota, d.set.Manifest().ChunkSize))
 }
 
-// beginAnew lets the turns on the origin's link begin now. Chunks that were due while the
-// origin failed would else be read by all members at once when it is back, some of them
-// twice before others leave it.
-func (s *schedule) beginAnew(d *Download) {
-	s.from = time.Now()
+// restart recomputes the turns on the origin's link from the current time. Without it, all
+// members would read the chunks that became due during an outage at once when the origin
+// recovers, and some chunks would be read twice before others are read at all.
+func (s *schedule) restart(d *Download) {
+	s.start = time.Now()
 	clear(s.postponed)
 	s.assign(d)
 }
 
-// share returns how many bytes of the origin this member may read: the chunks
-// that it is the first to bring in, and its part of the spare copies. Shares
-// add up to the budget; a part of a chunk is drawn by lot, the same each time.
+// share returns how many bytes this member may read from the origin: the chunks of which it
+// is the first reader in its region, and its part of the spare copies. The fractional chunk of
+// that part is rounded up or down by the member's hash score, so that the result is the same
+// on each call and the shares of all members add up to the budget on average.
 func (s *schedule) share(d *Download) int64 {
 	m := d.set.Manifest()
 	first := 0
@@ -128,34 +130,36 @@
 	return (int64(first) + int64(whole)) * m.ChunkSize
 }
 
-// assign works out this member's rank and time for each chunk.
+// assign computes this member's rank and start times for each chunk.
 //
-// The origin's link is shared by time: chunk c has its turn at c times a little less than
-// what a chunk takes on the link. So the first chunks arrive early and spread while
-// the others wait, and a ceiling on the link holds without talk.
+// The origin's link is divided into time slots: chunk c has its turn after c times slightly
+// less than the transfer time of one chunk. The first chunks thus arrive early and spread
+// among the members while later ones are read, and the limit on the link's rate holds without
+// coordination.
 //
-// A chunk is read first in the region of its home reader, the first of all members; the
-// others ask there, and read from the origin only once its link could have carried one
-// copy: the origin is what can fail, and each chunk leaves it once before any does twice.
+// A chunk is read first in the region of its home reader, the member that ranks first among
+// all members. Other regions request it there, and read it from the origin only after the
+// origin's link could have transferred one full copy. Since the origin may fail, each chunk
+// is read from it once before any chunk is read twice.
 func (s *schedule) assign(d *Download) {
 	m := d.set.Manifest()
-	late := d.cfg.lateness(m.Size)
-	oneCopy := timeOnLink(d.cfg.OriginRate, m, len(m.Chunks))
+	late := d.cfg.takeoverDelay(m.Size)
+	oneCopy := originLinkTime(d.cfg.OriginRate, m, len(m.Chunks))
 	region := inRegion(d.members, d.self.Region)
 	for c := range m.Chunks {
-		turn := s.from.Add(turnOf(d.cfg.OriginRate, m, c))
+		turn := s.start.Add(turnOffset(d.cfg.OriginRate, m, c))
 		ranks := ranked(d.set.Root(), c, region, maxRanks)
 		s.earlier[c], s.rank[c] = earlierReaders(ranks, d.self.VM)
 		wait := time.Duration(s.rank[c]) * late
 		if s.rank[c] == len(ranks) {
 			spread := float64(score(d.set.Root(), c, d.self.VM)) / math.MaxUint64
-			wait += time.Duration(spread * anybodySpread * float64(late))
+			wait += time.Duration(spread * unrankedSpread * float64(late))
 		}
 		home := ranked(d.set.Root(), c, d.members, 1)
 		s.home[c] = len(home) == 0 || home[0].Region == d.self.Region
 		if !s.home[c] {
 			s.earlier[c] = withHomeReader(s.earlier[c], home[0], s.rank[c])
-			wait += late / farStartDivisor
+			wait += late / remoteStartDivisor
 		}
 		s.due[c] = turn.Add(wait)
 		s.originAt[c] = s.due[c]
@@ -163,17 +167,17 @@
 			s.originAt[c] = s.due[c].Add(oneCopy)
 		}
 		if d.cfg.FirstCopies {
-			s.due[c], s.originAt[c] = s.from, s.from
+			s.due[c], s.originAt[c] = s.start, s.start
 		}
 	}
 }
 
-// firstOfAll returns whether this member is the first of all to read chunk c.
+// firstOfAll reports whether this member is the home reader of chunk c.
 func (s *schedule) firstOfAll(c int) bool {
 	return s.home[c] && s.rank[c] == 0
 }
 
-// setBudget changes the ceilings on the origin while chunks travel.
+// setBudget changes the limits on origin reads while the download runs.
 func (s *schedule) setBudget(d *Download, rate, copies float64) {
 	before := s.share(d)
 	WithOriginBudget(rate, copies)(&d.cfg)
@@ -184,14 +188,15 @@
 	s.limiter.SetLimit(limit)
 }
 
-// turnOf returns when chunk c has its turn on the origin's link.
-func turnOf(originRate float64, m *weights.Manifest, c int) time.Duration {
-	return time.Duration(turnShare * float64(timeOnLink(originRate, m, c)))
+// turnOffset returns the time from the start of the schedule to chunk c's turn on the
+// origin's link.
+func turnOffset(originRate float64, m *weights.Manifest, c int) time.Duration {
+	return time.Duration(turnShare * float64(originLinkTime(originRate, m, c)))
 }
 
-// timeOnLink returns for how long the origin's link carries the chunks before chunk c; for
-// the chunk after the last, one copy.
-func timeOnLink(originRate float64, m *weights.Manifest, c int) time.Duration {
+// originLinkTime returns the time that the origin's link takes for the chunks before chunk c.
+// For c equal to the number of chunks this is the time of one full copy.
+func originLinkTime(originRate float64, m *weights.Manifest, c int) time.Duration {
 	if originRate <= 0 {
 		return 0
 	}
@@ -202,17 +207,18 @@
 	return time.Duration(float64(off) / originRate * float64(time.Second))
 }
 
-// withHomeReader adds the first reader of all, in another region, to those in earlier:
-// behind the members of this region that should have asked it already, so that
-// a long link carries a chunk once.
+// withHomeReader inserts the home reader, a member of another region, into earlier after the
+// members of this region that rank before this one. These should have requested the chunk
+// from the home reader already, so that it crosses the link between the regions only once.
 func withHomeReader(earlier []Member, home Member, rank int) []Member {
 	out := append([]Member(nil), earlier[:rank]...)
 	out = append(out, home)
 	return append(out, earlier[rank:]...)
 }
 
-// earlierReaders returns those ranked before vm, the next behind it, and vm's rank.
-// The next behind is asked as well: it had the first rank before vm joined.
+// earlierReaders returns the members ranked before vm, the member ranked next after it, and
+// vm's rank. The next member is included because it may have read the chunk at vm's rank
+// before vm joined.
 func earlierReaders(ranks []Member, vm string) ([]Member, int) {
 	for r, m := range ranks {
 		if m.VM != vm {
@@ -227,14 +233,14 @@
 	return ranks, len(ranks)
 }
 
-// open returns whether n bytes may be read from the origin now.
-func (s *schedule) open(n int64) bool {
+// allowsRead reports whether n bytes may be read from the origin now.
+func (s *schedule) allowsRead(n int64) bool {
 	return !s.changed && s.quota >= n && !time.Now().Before(s.retryAt)
 }
 
-// willRead returns whether this member is reading chunk c from the origin, or
-// is the first to do so and will as soon as it can. One that only asks others for
-// it does not count: two that ask each other would both wait.
+// willRead reports whether this member is reading chunk c from the origin, or ranks first for
+// it and has quota left to read it. A member that only requests the chunk from others does
+// not count: two such members would wait for each other.
 func (s *schedule) willRead(c int, n int64) bool {
 	if s.fromOrigin[c] {
 		return true
@@ -242,11 +248,11 @@
 	return s.rank[c] == 0 && !s.changed && s.quota >= n
 }
 
-// backOff leaves the origin alone for a while, longer after each fault in a
-// row, and not for the same time as other members.
+// backOff suspends origin reads for a time that grows with each consecutive failure. Jitter
+// keeps members from retrying at the same moment.
 func (s *schedule) backOff(d *Download) {
 	s.faults++
-	pause := d.cfg.lateness(d.set.Manifest().Size) << min(s.faults-1, maxBackoffShift)
+	pause := d.cfg.takeoverDelay(d.set.Manifest().Size) << min(s.faults-1, maxBackoffShift)
 	jitter := 0.5 + d.cfg.Rand.Float64()/2
 	s.retryAt = time.Now().Add(time.Duration(jitter * float64(pause)))
 }
--- a/swarm/sharedlink_test.go
+++ b/swarm/sharedlink_test.go
@@ -15,14 +15,14 @@
 	"github.com/silverdeck/silverdeck/weights"
 )
 
-// narrowLink is a Transport to members that hold everything, over one narrow link: chunks
-// come one after the other.
+// narrowLink is a Transport to members that hold all chunks, over one shared narrow link that
+// transfers chunks one after the other.
 type narrowLink struct {
 	set       *weights.Set
 	chunkTime time.Duration
 
 	mu             sync.Mutex
-	underWay, most int
+	inFlight, most int
 }
 
 func (l *narrowLink) Have(ctx context.Context, _ swarm.Member, _ weights.Digest, since int) ([]int, error) {
@@ -46,23 +46,23 @@
 	}
 }
 
-// take returns how long a chunk that is asked for now takes.
+// take returns the transfer time of a chunk that is requested now.
 func (l *narrowLink) take() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Duration(l.underWay) * l.chunkTime
+	return time.Duration(l.inFlight) * l.chunkTime
 }
 
 func (l *narrowLink) count(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.underWay += n
-	l.most = max(l.most, l.underWay)
+	l.inFlight += n
+	l.most = max(l.most, l.inFlight)
 }
 
-// What users saw: requests to an endpoint behind a narrow link waited there for over a
-// second, and began on weights past their limit. Three chunks were before them in the
-// link, of a download that had just begun: each measured the link anew.
+// Guards against each download measuring the link from scratch. Requests to an endpoint behind a
+// narrow link were delayed by over a second and started on weights past their time limit, because
+// three chunks of a download that had just started were queued on the link before them.
 func TestADownloadKnowsTheLinkFromTheOneBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -72,38 +72,38 @@
 		fetch := func() int {
 			link.most = 0
 			d := swarm.NewDownload(list[0], list, weights.NewSet(link.set.Manifest()), link, noOrigin{}, swarm.WithParallel(3, 1),
-				swarm.WithLink(meter), swarm.WithLateness(time.Hour), swarm.WithMinTimeout(5*time.Second))
+				swarm.WithLink(meter), swarm.WithTakeoverDelay(time.Hour), swarm.WithMinTimeout(5*time.Second))
 			g.Expect(d.Run(t.Context())).To(Succeed())
 			return link.most
 		}
-		g.Expect(fetch()).To(BeNumerically(">", 2), "nothing is known of the link")
-		g.Expect(fetch()).To(Equal(1), "the link is known to be narrow")
+		g.Expect(fetch()).To(BeNumerically(">", 2), "link is not measured yet")
+		g.Expect(fetch()).To(Equal(1), "link has been measured as narrow")
 	})
 }
 
-// A chunk takes longer over a narrow link than what makes one count as stalled elsewhere.
+// A chunk takes longer over a narrow link than the timeout on other links.
 func TestAVMOnANarrowLinkGetsItsChunks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		link := &narrowLink{set: wholeSet(g), chunkTime: time.Second}
 		list := members(4, "east")
 		d := swarm.NewDownload(list[0], list, weights.NewSet(link.set.Manifest()), link, noOrigin{}, swarm.WithParallel(3, 1),
-			swarm.WithLinkRate(chunkSize/chunkTime.Seconds()), swarm.WithLateness(time.Hour), swarm.WithMinTimeout(600*time.Millisecond))
+			swarm.WithLinkRate(chunkSize/chunkTime.Seconds()), swarm.WithTakeoverDelay(time.Hour), swarm.WithMinTimeout(600*time.Millisecond))
 		ctx, cancel := context.WithTimeout(t.Context(), 2*chunks*link.chunkTime)
 		defer cancel()
 		g.Expect(d.Run(ctx)).To(Succeed())
 	})
 }
 
-// silent is a Transport to members that tell of chunks and give none.
-type silent struct {
+// unresponsive is a Transport to members that announce chunks but never send one.
+type unresponsive struct {
 	set *weights.Set
 
 	mu     sync.Mutex
 	waited time.Duration
 }
 
-func (s *silent) Have(ctx context.Context, _ swarm.Member, _ weights.Digest, since int) ([]int, error) {
+func (s *unresponsive) Have(ctx context.Context, _ swarm.Member, _ weights.Digest, since int) ([]int, error) {
 	news, _ := s.set.Since(since)
 	if len(news) == 0 {
 		<-ctx.Done()
@@ -111,7 +111,7 @@
 	return news, ctx.Err()
 }
 
-func (s *silent) Chunk(ctx context.Context, _ swarm.Member, _ weights.Digest, _ int) ([]byte, error) {
+func (s *unresponsive) Chunk(ctx context.Context, _ swarm.Member, _ weights.Digest, _ int) ([]byte, error) {
 	began := time.Now()
 	<-ctx.Done()
 	s.mu.Lock()
@@ -120,12 +120,12 @@
 	return nil, ctx.Err()
 }
 
-// Neighbours that fell silent look like a narrow link. However many there are, the next is
-// not waited for longer and longer.
-func TestSilentNeighboursAreNotWaitedForLongerAndLonger(t *testing.T) {
+// Unresponsive neighbours look like a narrow link of the VM's own. The timeout of a request must not
+// grow with the number of such neighbours.
+func TestTimeoutDoesNotGrowWithUnresponsiveNeighbours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		peers := &silent{set: wholeSet(g)}
+		peers := &unresponsive{set: wholeSet(g)}
 		list := members(10, "east")
 		d := swarm.NewDownload(list[0], list, weights.NewSet(peers.set.Manifest()), peers, noOrigin{}, swarm.WithParallel(3, 1),
 			swarm.WithLinkRate(chunkSize/chunkTime.Seconds()), swarm.WithMinTimeout(600*time.Millisecond))
@@ -136,7 +136,7 @@
 	})
 }
 
-// wholeSet returns a version that is complete.
+// wholeSet returns a complete set.
 func wholeSet(g Gomega) *weights.Set {
 	data, m := version(1)
 	whole := weights.NewSet(m)
@@ -147,7 +147,7 @@
 	return whole
 }
 
-// noOrigin is an Origin that is not there.
+// noOrigin is an Origin of which every read fails.
 type noOrigin struct{}
 
 func (noOrigin) ReadChunk(context.Context, int64, int64) ([]byte, error) {
--- a/swarm/stats.go
+++ b/swarm/stats.go
@@ -1,26 +1,27 @@
 package swarm
 
-// Stats tells how far a download has come.
+// Stats describes the progress of a download.
 type Stats struct {
-	// Have and Total count chunks.
+	// Have and Total are the numbers of chunks held and in total.
 	Have, Total int
-	// OriginBytes and PeerBytes count verified and unverified bytes read.
+	// OriginBytes and PeerBytes count the bytes read from the origin and from other members,
+	// including those that failed verification.
 	OriginBytes, PeerBytes int64
-	// Takeovers counts chunks read from the origin in another member's place.
+	// Takeovers counts chunks read from the origin in place of a higher-ranked reader.
 	Takeovers int
-	// Corrupt counts chunks that did not verify, by where they came from.
+	// CorruptOrigin and CorruptPeer count chunks that failed verification, by source.
 	CorruptOrigin, CorruptPeer int
-	// Stalled counts requests to neighbours that took too long.
+	// Stalled counts requests to neighbours that timed out.
 	Stalled int
-	// Blocked says in words why nothing moves, or is empty.
+	// Blocked describes why the download makes no progress, or is empty.
 	Blocked string
 }
 
-// Delays tells what held a download up. Unlike Stats it stays on its VM.
+// Delays holds counters that explain delays of a download. Unlike Stats, it is not sent to
+// other processes.
 type Delays struct {
 	// OtherRegionBytes counts bytes read from members of other regions.
 	OtherRegionBytes int64
-	// Postponed counts how often a chunk was left to another member that should have
-	// read it.
+	// Postponed counts how often a chunk was postponed.
 	Postponed int
 }
--- a/swarm/transport.go
+++ b/swarm/transport.go
@@ -7,42 +7,43 @@
 	"github.com/silverdeck/silverdeck/weights"
 )
 
-// Transport reaches other members.
+// Transport sends requests to other members.
 type Transport interface {
-	// Have returns the chunks that m got after the first since ones, in order
-	// of arrival. It may wait for news, for as long as the callee sees fit.
+	// Have returns the chunks that m holds beyond the first since ones, in order of arrival.
+	// If there are none, it may block until one arrives or for a time that the callee sets.
 	Have(ctx context.Context, m Member, root weights.Digest, since int) ([]int, error)
-	// Chunk returns the bytes of chunk i from m, unverified, or a *RefusalError.
+	// Chunk returns the unverified bytes of chunk i from m. The error is a *RefusalError if m
+	// declined to send the chunk.
 	Chunk(ctx context.Context, m Member, root weights.Digest, i int) ([]byte, error)
 }
 
-// Origin reads chunks where weights come from in the first place.
+// Origin reads chunks from the store that weights are published in.
 type Origin interface {
-	// ReadChunk returns n bytes at off, unverified. With an error it returns
-	// the bytes that had come, since they count against the budget; the error
-	// is *origin.ChangedError when the origin has another version.
+	// ReadChunk returns n unverified bytes at off. On an error it returns the bytes received
+	// until then, since they count against the budget. The error is an *origin.ChangedError
+	// if the origin has another version.
 	ReadChunk(ctx context.Context, off, n int64) ([]byte, error)
 }
 
-// Refusal is why a member does not send a chunk.
+// Refusal is the reason why a member declined to send a chunk.
 type Refusal int
 
-// The refusals.
+// Reasons for a refusal.
 const (
-	// RefusalAbsent says that the member does not hold the chunk.
+	// RefusalAbsent means that the member does not hold the chunk.
 	RefusalAbsent Refusal = iota + 1
-	// RefusalReading says that the member is reading the chunk from the origin now.
+	// RefusalReading means that the member is reading the chunk from the origin or is about
+	// to; see Download.Reading.
 	RefusalReading
-	// RefusalBusy says that the member's upload slots and queue are full.
+	// RefusalBusy means that the member's upload slots and queue are full.
 	RefusalBusy
 )
 
-// RefusalError tells that a member is well but does not send a chunk.
+// RefusalError is the error of a Transport for a chunk that a healthy member declined to send.
 type RefusalError struct {
 	Refusal Refusal
 }
 
-// Error names the refusal.
 func (e *RefusalError) Error() string {
 	switch e.Refusal {
 	case RefusalAbsent:
