--- a/sidecar/stage/download.go
+++ b/sidecar/stage/download.go
@@ -63,10 +63,10 @@
 func DownloadOptions(originRate float64, members int, link *congestion.Meter) []swarm.Option {
 	return []swarm.Option{
 		swarm.WithOriginBudget(originRate, float64(members+1)),
-		swarm.WithLateness(originTakeoverDelay),
+		swarm.WithTakeoverDelay(originTakeoverDelay),
 		swarm.WithParallel(parallelChunks, parallelPerMember),
 		swarm.WithLink(link),
-		swarm.WithPatience(maxDeferrals),
+		swarm.WithMaxPostponements(maxDeferrals),
 		swarm.WithMinTimeout(minChunkTimeout),
 	}
 }
