--- a/gateway/proxy/call.go
+++ b/gateway/proxy/call.go
@@ -57,7 +57,7 @@
 	// is the number of endpoints that had crashed under the request and its copies when it was
 	// admitted.
 	releaseLease func()
-	crashCount     int
+	crashCount   int
 	// withdrawn is set if the request was quarantined while an endpoint had it.
 	withdrawn bool
 	// mayHaveRun is set if the request may have run on any endpoint.
