--- a/gateway/advisory/wire_test.go
+++ b/gateway/advisory/wire_test.go
@@ -14,7 +14,7 @@
 
 // Gateway clocks differ, so the times of records are sent as ages and restored relative to the
 // receiver's clock.
-func TestRecordsKeepTheirAgesOnTheWay(t *testing.T) {
+func TestRecordsKeepTheirAgesInTransit(t *testing.T) {
 	g := NewWithT(t)
 	sent := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	received := sent.Add(-time.Hour)
@@ -36,7 +36,7 @@
 
 // A gateway whose clock jumps back sends negative ages, which must not yield times in the
 // receiver's future.
-func TestWhatIsToldIsNeverOfTheFuture(t *testing.T) {
+func TestDecodedTimesAreNeverInTheFuture(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	limit, age := -1.0, int64(-5000)
--- a/gateway/endpoints/endpoints.go
+++ b/gateway/endpoints/endpoints.go
@@ -2,8 +2,8 @@
 // the platform's store and, for a limited time, those whose records lapsed while the store was
 // unavailable.
 //
-// Updates are serialized by a lock; readers do not need it. The package depends on a local copy
-// of the endpoint records and on being told whether the store is reachable.
+// Updates are serialized by a lock; readers do not need it. A List reads a local copy of the
+// endpoint records, and its owner reports by SetStoreLost whether the store is reachable.
 package endpoints
 
 import (
--- a/gateway/endpoints/endpoints_test.go
+++ b/gateway/endpoints/endpoints_test.go
@@ -63,7 +63,7 @@
 	})
 }
 
-func TestEndpointsAreKeptWhenNoneThatWatchesReachesTheStore(t *testing.T) {
+func TestLapsedEndpointsAreKeptAfterTheStoreWasLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := &store{}
@@ -81,7 +81,7 @@
 	})
 }
 
-func TestAnEndpointThatLeavesTheListWhileTheStoreAnswersIsGoneAtOnce(t *testing.T) {
+func TestAnUnlistedEndpointIsRemovedAtOnceWhileTheStoreResponds(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{}
 	l := newList(s)
@@ -119,7 +119,7 @@
 // The clock of an endpoint's VM was set back before the endpoint restarted, so all its records
 // have an earlier start time. They must be used after recordTTL; otherwise a draining endpoint
 // would receive requests forever.
-func TestARecordThatStandsIsUsedWhateverItsClock(t *testing.T) {
+func TestAPersistentRecordIsUsedDespiteAnEarlierStartTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := &store{}
@@ -138,7 +138,7 @@
 }
 
 // Older versions of the program write records without a start time.
-func TestARecordWithoutTheTimeOfItsStartIsUsed(t *testing.T) {
+func TestARecordWithoutAStartTimeIsUsed(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{}
 	l := newList(s)
@@ -151,7 +151,7 @@
 
 // Another program left records in the store. They were logged again whenever any endpoint
 // changed, and one of them was used although its slots were -8.
-func TestRecordsOfOtherWritersAreLeftOutAndToldOnce(t *testing.T) {
+func TestUnreadableRecordsAreOmittedAndReportedOnce(t *testing.T) {
 	g := NewWithT(t)
 	s := &store{}
 	l := newList(s)
--- a/gateway/replica/bundle_test.go
+++ b/gateway/replica/bundle_test.go
@@ -54,7 +54,7 @@
 	g.Expect(change).To(BeNumerically("<", plain/20))
 }
 
-func TestABundleIsTakenInAsWhatItHolds(t *testing.T) {
+func TestABundleYieldsTheSameCopy(t *testing.T) {
 	g := NewWithT(t)
 	source, target := newGateway("a0"), newGateway("a1")
 	list := records(300)
@@ -70,7 +70,7 @@
 }
 
 // Gateways running an older version do not support bundles.
-func TestWhoDoesNotAskForABundleGetsNone(t *testing.T) {
+func TestNoBundleIsSentUnlessRequested(t *testing.T) {
 	g := NewWithT(t)
 	source := newGateway("a0")
 	source.setCopy(endpoints, 300, records(300)...)
@@ -89,7 +89,7 @@
 	return nil
 }
 
-func TestABundleThatCantBeReadCostsNothing(t *testing.T) {
+func TestAnUnreadableBundleLeavesTheCopyUnchanged(t *testing.T) {
 	g := NewWithT(t)
 	target := newGateway("a1")
 	target.setCopy(endpoints, 3, records(3)...)
--- a/gateway/replica/rules_test.go
+++ b/gateway/replica/rules_test.go
@@ -17,7 +17,7 @@
 	notWatching replica.Status
 )
 
-func TestPatienceGrowsWithThoseThatWatch(t *testing.T) {
+func TestPeerFetchDelayGrowsWithTheWatchers(t *testing.T) {
 	for name, c := range map[string]struct {
 		status   replica.Status
 		watchers int
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestWhoIsAskedForANewerCopy(t *testing.T) {
+func TestWhereANewerCopyIsFetchedFrom(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(replica.ShouldFetchFromPeer(250*ms, time.Hour, 250*ms)).To(BeTrue())
 	g.Expect(replica.ShouldFetchFromPeer(250*ms-1, time.Hour, 250*ms)).To(BeFalse(), "delay not over")
@@ -46,7 +46,7 @@
 	g.Expect(replica.ShouldFetchFromStore(1500*ms + 1)).To(BeTrue())
 }
 
-func TestWhoseCopiesTheStoreKeeps(t *testing.T) {
+func TestWhichCopiesAreSyncedFromTheStore(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(replica.SyncsFromStore(true, true, 0)).To(BeTrue())
 	g.Expect(replica.SyncsFromStore(false, true, time.Hour)).To(BeFalse())
@@ -54,7 +54,7 @@
 	g.Expect(replica.SyncsFromStore(false, false, 1200*ms+1)).To(BeTrue())
 }
 
-func TestWatchesAreHeldShorterTheFewerWatch(t *testing.T) {
+func TestPollTimeoutGrowsWithTheWatchers(t *testing.T) {
 	for watchers, want := range map[int]time.Duration{0: 2500 * ms, 2: 2500 * ms, 3: 3 * time.Second, 10: 10 * time.Second, 40: 10 * time.Second} {
 		NewWithT(t).Expect(replica.PollTimeout(watchers)).To(Equal(want))
 	}
--- a/gateway/replica/syncer_test.go
+++ b/gateway/replica/syncer_test.go
@@ -107,7 +107,7 @@
 	g.Expect(bytes.Equal(got.Data, large.Data)).To(BeTrue())
 }
 
-func TestAnEntryWithoutACopyGivesNone(t *testing.T) {
+func TestAGatewayWithoutACopyReturnsAnError(t *testing.T) {
 	g := NewWithT(t)
 	var reply replica.StateReply
 	s := replica.NewService(newGateway("one").mirrors)
@@ -115,7 +115,7 @@
 	g.Expect(s.State(replica.StateRequest{Kind: "other"}, &reply)).To(MatchError(replica.ErrUnknownKind))
 }
 
-func TestOneThatWatchesWaitsForItsOwnAnswerAndOthersDoNot(t *testing.T) {
+func TestOnlyGatewaysThatWatchWaitForTheStoreFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := newGateway("m")
@@ -136,7 +136,7 @@
 	})
 }
 
-func TestAnEntryThatGetsNoFirstCopyAsksTheStore(t *testing.T) {
+func TestAGatewayWithoutAFirstCopyReadsTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		e := newGateway("m")
@@ -153,7 +153,7 @@
 	})
 }
 
-func TestTheStoreIsLostOnceItAnswersNoneThatWatches(t *testing.T) {
+func TestTheStoreIsLostOnceItAnswersNoWatcher(t *testing.T) {
 	g := NewWithT(t)
 	e := newGateway("m")
 	watch := func(away bool) func(*member.Heartbeat) {
@@ -182,7 +182,7 @@
 	for _, c := range []struct {
 		name   string
 		listed []member.Entry
-		// immediately and settled tell whether the gateway reads the store at its start and
+		// immediately and settled state whether the gateway reads the store at its start and
 		// after it has settled.
 		immediately, settled bool
 	}{
--- a/gateway/unreadable/unreadable_test.go
+++ b/gateway/unreadable/unreadable_test.go
@@ -15,7 +15,7 @@
 	"github.com/silverdeck/silverdeck/gateway/unreadable"
 )
 
-func TestEachRecordIsCountedAndFewAreLogged(t *testing.T) {
+func TestEveryRecordIsCountedButFewAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		var out bytes.Buffer
--- a/gateway/upstream/watch_test.go
+++ b/gateway/upstream/watch_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestAWatchThatIsWokenAsksAtOnce(t *testing.T) {
+func TestWakeCallsGiveUpAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		began := time.Now()
