--- a/gateway/replica/rules.go
+++ b/gateway/replica/rules.go
@@ -94,9 +94,9 @@
 const lostWatchFraction = 0.6
 
 // ConfigPollTimeout is like PollTimeout for a watch of the configuration, which must end within
-// contact, the time after a fault during which the platform tolerates outdated gateways; 0 if
-// unknown. If that watch reveals that the history of the store is gone, the copies of all other
-// kinds are checked too.
+// contact, the time after a fault for which the platform excuses gateways; 0 if unknown. If that
+// watch reveals that the history of the store is gone, the copies of all other kinds are checked
+// too.
 func ConfigPollTimeout(watchers int, contact time.Duration) time.Duration {
 	limit := time.Duration(lostWatchFraction * float64(contact))
 	if limit <= 0 {
--- a/gateway/upstream/upstream.go
+++ b/gateway/upstream/upstream.go
@@ -122,8 +122,7 @@
 type Options struct {
 	// NewConnection requires a newly opened connection.
 	NewConnection bool
-	// Watchdog is used while waiting for the response headers. If it is nil, the wait is
-	// bounded only by the context.
+	// Watchdog is used while waiting for the response headers. It may be nil.
 	Watchdog *Watchdog
 }
 
