--- a/gateway/directory/directory.go
+++ b/gateway/directory/directory.go
@@ -16,15 +16,15 @@
 // If the zone has fewer than two, gateways of other zones are added to make two, preferably
 // from region. Successive values of turn rotate among the candidates.
 func Addresses(live []member.Entry, zone, region string, turn int) []string {
-	var local, others []member.Entry
+	var selected, others []member.Entry
 	for _, e := range live {
 		if e.Zone == zone {
-			local = append(local, e)
+			selected = append(selected, e)
 		} else {
 			others = append(others, e)
 		}
 	}
-	selected := slices.Concat(local, fallbacks(others, region, minLocalGateways-len(local), turn))
+	selected = append(selected, fallbacks(others, region, minLocalGateways-len(selected), turn)...)
 	out := make([]string, 0, len(selected))
 	for _, e := range selected[:min(len(selected), maxAddresses)] {
 		out = append(out, e.Callers)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -138,7 +138,7 @@
 mutant "a late head ends a limit" gateway/balance/limit.go 's/l.declared && sentAt.After\(l.heardAt\)/l.declared/' ./gateway/balance 'TestSuite'
 mutant "a leaving endpoint is used" gateway/balance/advisory.go 's/return e.record.Leaving \|\| e.advisory.leaving/return e.record.Leaving/' ./gateway/proxy 'TestRequestsReachEndpointsThatSaid'
 mutant "a rest ends with the next answer" gateway/balance/advisory.go 's/if d == 0 \|\| !until.After/if !until.After/; s/s.backoffUntil\) \{\n\t\treturn false/s.backoffUntil) \&\& d > 0 {\n\t\treturn false/' ./gateway/balance 'TestSuite'
-mutant "a rest is a failure" gateway/proxy/answer.go 's/if adv.Rest > 0/if false/' ./gateway/proxy 'TestAnEndpointThatAskedForRestOften'
+mutant "a rest is a failure" gateway/proxy/answer.go 's/if adv.RetryAfter > 0/if false/' ./gateway/proxy 'TestAnEndpointThatAskedForRestOften'
 mutant "a holder lends nothing" gateway/balance/token.go 's/holderTurn \|\| opensIn > maxGrantDelay/true || holderTurn || opensIn > maxGrantDelay/' ./gateway/proxy 'TestAnEndpointWithALimitServes|TestALimitEndsWhose'
 mutant "a holder always has its turn" gateway/balance/token.go 's/holderTurn := l.lastGranted \&\& /holderTurn := /' ./gateway/proxy 'TestTheHolder'
 mutant "ends that another request explains count" gateway/poison/table.go 's/if q.Explains\(&other.Record\)/if false/' ./gateway/poison 'TestSharedCrashes'
