--- a/compat/calls_test.go
+++ b/compat/calls_test.go
@@ -113,8 +113,8 @@
 func TestCallsToTheOriginKeepTheirForm(t *testing.T) {
 	digest := strings.Repeat("ab", 32)
 	r, addr := record(t, answer{http.StatusOK, `{"chunk_bytes":4096,"digests":["` + digest + `"]}`}, answer{http.StatusOK, "chunk"})
-	origin := platform.NewOrigin(func(context.Context) (platform.OriginPlace, error) {
-		return platform.OriginPlace{Address: addr, LinkMbps: 8}, nil
+	origin := platform.NewOrigin(func(context.Context) (platform.OriginLocation, error) {
+		return platform.OriginLocation{Address: addr, LinkMbps: 8}, nil
 	})
 	m, err := origin.Manifest(t.Context(), "m/1", 3)
 	r.note(m.Size, m.Root(), err)
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -224,15 +224,15 @@
 var errNoOrigin = errors.New("sidecar: the configuration names no origin")
 
 // origin returns where the origin of weights is.
-func (c *Sidecar) origin(context.Context) (platform.OriginPlace, error) {
+func (c *Sidecar) origin(context.Context) (platform.OriginLocation, error) {
 	inv := c.fleet.known()
 	switch {
 	case inv == nil:
-		return platform.OriginPlace{}, errNoInventory
+		return platform.OriginLocation{}, errNoInventory
 	case inv.Origin == "":
-		return platform.OriginPlace{}, errNoOrigin
+		return platform.OriginLocation{}, errNoOrigin
 	}
-	return platform.OriginPlace{Address: inv.Origin, LinkMbps: inv.OriginMbps}, nil
+	return platform.OriginLocation{Address: inv.Origin, LinkMbps: inv.OriginMbps}, nil
 }
 
 // Ready implements telemetry.Observed.
