--- a/gateway/upstream/conn.go
+++ b/gateway/upstream/conn.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"github.com/silverdeck/silverdeck/quiet"
+	"github.com/silverdeck/silverdeck/conncheck"
 	"github.com/silverdeck/silverdeck/roster"
 )
 
@@ -54,7 +54,7 @@
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	return quiet.Is(c.Conn)
+	return conncheck.IsIdle(c.Conn)
 }
 
 // abort resets the connection and discards data that has not been delivered. After an ordinary
