--- a/compat/answers_test.go
+++ b/compat/answers_test.go
@@ -75,7 +75,7 @@
 	t.Cleanup(server.Close)
 	s.addr = strings.TrimPrefix(server.URL, "http://")
 	draw := func() float64 { return 0.5 }
-	s.balancer = balance.New(balance.Config{Zone: "a", OtherLoad: func(roster.Life) int { return 0 }, Random: draw})
+	s.balancer = balance.New(balance.Config{Zone: "a", OtherLoad: func(roster.Incarnation) int { return 0 }, Random: draw})
 	s.proxy = proxy.New(proxy.Config{
 		Headers: platform.HeaderNames(), Balancer: s.balancer, Client: upstream.NewClient(),
 		Budget:  proxy.NewBudget(0.2, 100, 10*time.Second, func() int { return 1 }),
--- a/compat/calls_test.go
+++ b/compat/calls_test.go
@@ -155,7 +155,7 @@
 	fmt.Fprintln(&out, "account", a.Name, a.Priority, a.Ranked)
 	fmt.Fprintln(&out, "keys", config.NeedsKeys(), "aim", config.LongestTarget("llm"), "body", config.Limits.BodyBytes)
 	s := config.Services["llm"]
-	fmt.Fprintf(&out, "origin %s %v\nslots %d queue %.4f\n", s.Origin, s.LinkMbps, s.Engine.Slots, s.Engine.QueueWithin(240*time.Millisecond, 500))
+	fmt.Fprintf(&out, "origin %s %v\nslots %d queue %.4f\n", s.Origin, s.LinkMbps, s.Engine.Slots, s.Engine.MaxQueue(240*time.Millisecond, 500))
 	endpoint, err := platform.DecodeEndpoint([]byte(platformEndpoint))
 	fmt.Fprintln(&out, "endpoint", endpoint.ID, endpoint.Service, endpoint.Addr, endpoint.Zone, endpoint.Slots, endpoint.Leaving,
 		endpoint.Holds("m"), endpoint.Holds("l"), err)
--- a/gateway/advice.go
+++ b/gateway/advice.go
@@ -11,30 +11,30 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// tokenLimit bounds the question for a token: some ways there and back between regions.
-const tokenLimit = 150 * time.Millisecond
+// tokenTimeout bounds a token request. It allows for several round trips between regions.
+const tokenTimeout = 150 * time.Millisecond
 
-// noteAdvised tells other gateways at once that an endpoint said something new. It is called
-// under a lock.
-func (g *Gateway) noteAdvised() {
-	if g.beater != nil {
-		g.beater.SendSoon()
+// onAdvisory implements balance.Config.OnAdvisory: it sends a heartbeat early, so that other
+// gateways learn of new endpoint advice. It is called with a lock held.
+func (g *Gateway) onAdvisory() {
+	if g.heartbeater != nil {
+		g.heartbeater.SendSoon()
 	}
 }
 
-// useAdvice takes in what another gateway tells of endpoints. A relay tells it on at once.
-func (g *Gateway) useAdvice(told []member.Advice) {
+// mergeAdvice applies endpoint advice from another gateway. A relay forwards it immediately.
+func (g *Gateway) mergeAdvice(advice []member.Advice) {
 	now := time.Now()
-	changed := g.balancer.MergeAdvisories(advisory.Unpack(told, now), now)
+	changed := g.balancer.MergeAdvisories(advisory.Unpack(advice, now), now)
 	for _, r := range changed {
 		g.logAdvice(&r, now)
 	}
 	if len(changed) > 0 && g.table.IsRelay() {
-		g.beater.SendSoon()
+		g.heartbeater.SendSoon()
 	}
 }
 
-// logAdvice notes what another gateway told of an endpoint.
+// logAdvice logs advice on an endpoint that was received from another gateway.
 func (g *Gateway) logAdvice(r *advisory.Record, now time.Time) {
 	rate, limited := r.Limit.(advisory.PerSecond)
 	heard := int64(-1)
@@ -45,8 +45,8 @@
 		"perSecond", float64(rate), "heardMs", heard, "leaving", r.Leaving)
 }
 
-// readyGateways returns the gateways among which endpoints are held: those that are ready, as all
-// others see them.
+// readyGateways returns the gateways among which endpoints are assigned holders: the live
+// ones that report ready, and this one if it is ready.
 func (g *Gateway) readyGateways() []member.Entry {
 	live := g.table.Live()
 	if g.Ready() == nil {
@@ -55,9 +55,9 @@
 	return live
 }
 
-// askToken implements proxy.Config.AskToken. A token that may be used later is for the callers
-// who come then.
-func (g *Gateway) askToken(ctx context.Context, l roster.Life) bool {
+// requestToken implements proxy.Config.AskToken. It reports whether a token was granted for
+// immediate use; a token that becomes valid later is left for later requests.
+func (g *Gateway) requestToken(ctx context.Context, l roster.Incarnation) bool {
 	list := g.endpoints.Current()
 	if list == nil || list.Endpoints[l.ID] == nil {
 		return false
@@ -66,7 +66,7 @@
 	if !found || holder.Name == g.self.Name {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, tokenLimit)
+	ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 	defer cancel()
 	reply, err := tokens.Ask(ctx, g.peers, holder.Peer, g.self.Name, l)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return reply.Granted && reply.OpensIn == 0
 }
 
-// askUnheard implements balance.Config.OnStaleLimit.
-func (g *Gateway) askUnheard(l roster.Life) {
-	go g.askToken(context.Background(), l)
+// refreshStaleLimit implements balance.Config.OnStaleLimit.
+func (g *Gateway) refreshStaleLimit(l roster.Incarnation) {
+	go g.requestToken(context.Background(), l)
 }
--- a/gateway/advisory/advisory.go
+++ b/gateway/advisory/advisory.go
@@ -39,7 +39,7 @@
 
 // Record is what gateways tell each other of an endpoint's answers.
 type Record struct {
-	Endpoint roster.Life
+	Endpoint roster.Incarnation
 	// Limit is the limit that it named, or Unlimited once it names none any more.
 	Limit Limit
 	// HeardAt is when a gateway last heard that from the endpoint itself; zero if none heard
--- a/gateway/advisory/wire.go
+++ b/gateway/advisory/wire.go
@@ -32,7 +32,7 @@
 	var out []Record
 	for _, a := range told {
 		r := Record{
-			Endpoint:    roster.Life{ID: a.ID, Born: a.Born},
+			Endpoint:    roster.Incarnation{ID: a.ID, Born: a.Born},
 			Limit:       Unlimited{},
 			HeardAt:     ago(a.HeardMS, now),
 			ConfirmedAt: ago(a.ConfirmedMS, now),
--- a/gateway/advisory/wire_test.go
+++ b/gateway/advisory/wire_test.go
@@ -18,18 +18,18 @@
 	sent := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	taken := sent.Add(-time.Hour)
 	told := []advisory.Record{
-		{Endpoint: roster.Life{ID: "e", Born: 5}, Limit: advisory.PerSecond(0), HeardAt: sent.Add(-3 * time.Second), ConfirmedAt: sent},
-		{Endpoint: roster.Life{ID: "f"}, Limit: advisory.Unlimited{}, HeardAt: sent.Add(-time.Second)},
-		{Endpoint: roster.Life{ID: "g"}, Limit: advisory.Unlimited{}, Leaving: true},
+		{Endpoint: roster.Incarnation{ID: "e", Born: 5}, Limit: advisory.PerSecond(0), HeardAt: sent.Add(-3 * time.Second), ConfirmedAt: sent},
+		{Endpoint: roster.Incarnation{ID: "f"}, Limit: advisory.Unlimited{}, HeardAt: sent.Add(-time.Second)},
+		{Endpoint: roster.Incarnation{ID: "g"}, Limit: advisory.Unlimited{}, Leaving: true},
 	}
 	data, err := json.Marshal(advisory.Pack(told, sent))
 	g.Expect(err).NotTo(HaveOccurred())
 	var read []member.Advice
 	g.Expect(json.Unmarshal(data, &read)).To(Succeed())
 	g.Expect(advisory.Unpack(read, taken)).To(Equal([]advisory.Record{
-		{Endpoint: roster.Life{ID: "e", Born: 5}, Limit: advisory.PerSecond(0), HeardAt: taken.Add(-3 * time.Second), ConfirmedAt: taken},
-		{Endpoint: roster.Life{ID: "f"}, Limit: advisory.Unlimited{}, HeardAt: taken.Add(-time.Second)},
-		{Endpoint: roster.Life{ID: "g"}, Limit: advisory.Unlimited{}, Leaving: true},
+		{Endpoint: roster.Incarnation{ID: "e", Born: 5}, Limit: advisory.PerSecond(0), HeardAt: taken.Add(-3 * time.Second), ConfirmedAt: taken},
+		{Endpoint: roster.Incarnation{ID: "f"}, Limit: advisory.Unlimited{}, HeardAt: taken.Add(-time.Second)},
+		{Endpoint: roster.Incarnation{ID: "g"}, Limit: advisory.Unlimited{}, Leaving: true},
 	}))
 }
 
@@ -39,5 +39,5 @@
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	limit, age := -1.0, int64(-5000)
 	got := advisory.Unpack([]member.Advice{{ID: "e", Limit: &limit, HeardMS: &age}}, now)
-	g.Expect(got).To(Equal([]advisory.Record{{Endpoint: roster.Life{ID: "e"}, Limit: advisory.PerSecond(0), HeardAt: now}}))
+	g.Expect(got).To(Equal([]advisory.Record{{Endpoint: roster.Incarnation{ID: "e"}, Limit: advisory.PerSecond(0), HeardAt: now}}))
 }
--- a/gateway/balance/advisory_test.go
+++ b/gateway/balance/advisory_test.go
@@ -58,7 +58,7 @@
 	It("receives none from other gateways while its holder confirms the limit", func() {
 		b := withHeld(balancer(oneEndpoint(5, 1)))
 		respondAt(b, q, declared, at(0), at(100))
-		record := advisory.Record{Endpoint: roster.Life{ID: "e0", Born: 5}, Limit: declared, HeardAt: at(100)}
+		record := advisory.Record{Endpoint: roster.Incarnation{ID: "e0", Born: 5}, Limit: declared, HeardAt: at(100)}
 		for ms := 1000; ms < 9000; ms += 1000 {
 			record.ConfirmedAt = at(ms)
 			Expect(b.MergeAdvisories([]advisory.Record{record}, at(ms))).To(BeEmpty())
@@ -121,7 +121,7 @@
 	It("is advertised by the gateway that received the limit, then by the holder", func() {
 		b := withHeld(balancer(oneEndpoint(5, 1)))
 		respondAt(b, q, declared, at(0), at(100))
-		record := advisory.Record{Endpoint: roster.Life{ID: "e0", Born: 5}, Limit: declared, HeardAt: at(100)}
+		record := advisory.Record{Endpoint: roster.Incarnation{ID: "e0", Born: 5}, Limit: declared, HeardAt: at(100)}
 		Expect(b.Advisories(false, at(200))).To(ConsistOf(record))
 		Expect(b.Advisories(false, at(1200))).To(BeEmpty())
 		withHeld(b, "e0")
@@ -132,18 +132,18 @@
 	})
 	It("is forwarded by a relay", func() {
 		b := withHeld(balancer(oneEndpoint(5, 1)))
-		record := advisory.Record{Endpoint: roster.Life{ID: "e0", Born: 5}, Limit: declared, HeardAt: at(100)}
+		record := advisory.Record{Endpoint: roster.Incarnation{ID: "e0", Born: 5}, Limit: declared, HeardAt: at(100)}
 		Expect(b.MergeAdvisories([]advisory.Record{record}, at(200))).To(HaveLen(1))
 		Expect(b.Advisories(false, at(200))).To(BeEmpty())
 		Expect(b.Advisories(true, at(200))).To(ConsistOf(record))
 	})
 	It("has the limit that was received last", func() {
 		b := withHeld(balancer(oneEndpoint(5, 1)))
-		life := roster.Life{ID: "e0", Born: 5}
+		life := roster.Incarnation{ID: "e0", Born: 5}
 		b.MergeAdvisories([]advisory.Record{{Endpoint: life, Limit: advisory.Unlimited{}, HeardAt: at(300)}}, at(300))
 		Expect(b.MergeAdvisories([]advisory.Record{{Endpoint: life, Limit: declared, HeardAt: at(200)}}, at(400))).To(BeEmpty())
 		Expect(b.MergeAdvisories([]advisory.Record{{Endpoint: life, Limit: declared, HeardAt: at(400)}}, at(450))).To(HaveLen(1))
-		Expect(b.MergeAdvisories([]advisory.Record{{Endpoint: roster.Life{ID: "e0", Born: 4}, Limit: advisory.Unlimited{}, HeardAt: at(500)}}, at(500))).To(BeEmpty(), "of another incarnation")
+		Expect(b.MergeAdvisories([]advisory.Record{{Endpoint: roster.Incarnation{ID: "e0", Born: 4}, Limit: advisory.Unlimited{}, HeardAt: at(500)}}, at(500))).To(BeEmpty(), "of another incarnation")
 	})
 	It("receives no extra request from a new holder", func() {
 		b := withHeld(balancer(oneEndpoint(5, 1)))
@@ -250,7 +250,7 @@
 	It("leaves its rate limit to other gateways", func() {
 		b := withHeld(balancer(oneEndpoint(5, 1)), "e0")
 		pick(b, q, at(0)).ApplyAdvisory(advisory.Advisory{Limit: advisory.PerSecond(2), Rest: 3 * time.Second}, at(0), at(100))
-		granted, _ := b.Grant("g1", roster.Life{ID: "e0", Born: 5}, at(1000))
+		granted, _ := b.Grant("g1", roster.Incarnation{ID: "e0", Born: 5}, at(1000))
 		Expect(granted).To(BeTrue())
 		_, err := b.Pick(&q, at(1600))
 		Expect(err).To(Equal(&balance.FullError{Service: "s", OpensIn: 1500 * time.Millisecond}))
--- a/gateway/balance/balance.go
+++ b/gateway/balance/balance.go
@@ -60,10 +60,10 @@
 	Zone string
 	// OtherLoad returns the number of requests that other gateways have outstanding at an
 	// endpoint.
-	OtherLoad func(roster.Life) int
+	OtherLoad func(roster.Incarnation) int
 	// Suspected reports whether another gateway suspects an endpoint; nil means that none
 	// does.
-	Suspected func(roster.Life) bool
+	Suspected func(roster.Incarnation) bool
 	// Random returns a number in [0, 1).
 	Random func() float64
 	// OnHealthChange, if not nil, is called for each health change of an endpoint. It is
@@ -76,7 +76,7 @@
 	// OnStaleLimit, if not nil, is called for a rate-limited endpoint that no gateway has
 	// heard from for a long time, so that a token can be requested from its holder. It is
 	// called with a lock held and must not block.
-	OnStaleLimit func(roster.Life)
+	OnStaleLimit func(roster.Incarnation)
 }
 
 // Balancer selects endpoints. It is safe for concurrent use.
@@ -92,7 +92,7 @@
 // New returns a Balancer without endpoints.
 func New(cfg Config) *Balancer {
 	if cfg.Suspected == nil {
-		cfg.Suspected = func(roster.Life) bool { return false }
+		cfg.Suspected = func(roster.Incarnation) bool { return false }
 	}
 	if cfg.OnHealthChange == nil {
 		cfg.OnHealthChange = func(HealthEvent) {}
@@ -101,7 +101,7 @@
 		cfg.OnAdvisory = func() {}
 	}
 	if cfg.OnStaleLimit == nil {
-		cfg.OnStaleLimit = func(roster.Life) {}
+		cfg.OnStaleLimit = func(roster.Incarnation) {}
 	}
 	return &Balancer{cfg: cfg, services: map[string]*shard{}}
 }
@@ -172,7 +172,7 @@
 // Announcement is a notice from an endpoint's sidecar.
 type Announcement struct {
 	// Addr is the endpoint's address as the sidecar knows it. Born identifies the
-	// incarnation of the endpoint, as in roster.Life.
+	// incarnation of the endpoint, as in roster.Incarnation.
 	Addr string
 	Born int64
 	// PausedUntil is the time until which the endpoint must not receive requests. A time in
@@ -190,11 +190,11 @@
 	matches := b.addrMatcher(a.Addr)
 	b.eachShard(func(s *shard) {
 		for id, e := range s.endpoints {
-			announced := roster.Life{ID: id, Born: a.Born}
-			if !matches(e.record) || announced.Before(e.record.Life()) {
+			announced := roster.Incarnation{ID: id, Born: a.Born}
+			if !matches(e.record) || announced.Before(e.record.Incarnation()) {
 				continue
 			}
-			if !announced.Same(e.record.Life()) {
+			if !announced.Same(e.record.Incarnation()) {
 				e = s.restart(e, restartedRecord(e.record, a.Born))
 			}
 			e.health.pausedUntil = a.PausedUntil
@@ -230,12 +230,12 @@
 }
 
 // InFlight returns this gateway's outstanding requests by endpoint.
-func (b *Balancer) InFlight() map[roster.Life]int {
-	out := map[roster.Life]int{}
+func (b *Balancer) InFlight() map[roster.Incarnation]int {
+	out := map[roster.Incarnation]int{}
 	b.eachShard(func(s *shard) {
 		for _, e := range s.endpoints {
 			if e.inFlight > 0 {
-				out[e.record.Life()] = e.inFlight
+				out[e.record.Incarnation()] = e.inFlight
 			}
 		}
 	})
@@ -244,8 +244,8 @@
 
 // Suspects returns the endpoints that were unresponsive to several concurrent requests and
 // that this gateway has ejected or is about to probe.
-func (b *Balancer) Suspects(now time.Time) []roster.Life {
-	var out []roster.Life
+func (b *Balancer) Suspects(now time.Time) []roster.Incarnation {
+	var out []roster.Incarnation
 	b.eachShard(func(s *shard) { out = append(out, s.suspects(now)...) })
 	return out
 }
@@ -275,5 +275,5 @@
 // totalInFlight returns the outstanding requests of all gateways at e. The counts of other
 // gateways are as old as their last heartbeats.
 func (b *Balancer) totalInFlight(e *endpoint) int {
-	return e.inFlight + b.cfg.OtherLoad(e.record.Life())
+	return e.inFlight + b.cfg.OtherLoad(e.record.Incarnation())
 }
--- a/gateway/balance/balance_test.go
+++ b/gateway/balance/balance_test.go
@@ -14,9 +14,9 @@
 
 var now = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func noOtherLoad(roster.Life) int { return 0 }
-func zeroRandom() float64         { return 0 }
-func at(ms int) time.Time         { return now.Add(time.Duration(ms) * time.Millisecond) }
+func noOtherLoad(roster.Incarnation) int { return 0 }
+func zeroRandom() float64                { return 0 }
+func at(ms int) time.Time                { return now.Add(time.Duration(ms) * time.Millisecond) }
 
 // endpoints returns n endpoints e0, e1, and so on, of service s in zone a, with version 1
 // of model m and two slots.
@@ -37,7 +37,7 @@
 }
 
 // balancerWithSuspects returns a Balancer with the endpoints suspected by other gateways.
-func balancerWithSuspects(l *roster.List, suspected func(roster.Life) bool) *balance.Balancer {
+func balancerWithSuspects(l *roster.List, suspected func(roster.Incarnation) bool) *balance.Balancer {
 	b := balance.New(balance.Config{Zone: "a", OtherLoad: noOtherLoad, Random: zeroRandom, Suspected: suspected})
 	b.Update(l)
 	return b
@@ -80,7 +80,7 @@
 
 	It("distributes requests by outstanding requests, including those of other gateways", func() {
 		others := map[string]int{"e0": 2}
-		b := balance.New(balance.Config{Zone: "a", OtherLoad: func(l roster.Life) int { return others[l.ID] }, Random: zeroRandom})
+		b := balance.New(balance.Config{Zone: "a", OtherLoad: func(l roster.Incarnation) int { return others[l.ID] }, Random: zeroRandom})
 		b.Update(endpoints(3))
 		b.SetPreferred(map[string]bool{"e0": true, "e1": true, "e2": true})
 		got := map[string]int{}
@@ -294,7 +294,7 @@
 	It("counts each request until its lease is done", func() {
 		b := balancer(endpoints(1))
 		l := pick(b, s, now)
-		Expect(b.InFlight()).To(Equal(map[roster.Life]int{{ID: "e0"}: 1}))
+		Expect(b.InFlight()).To(Equal(map[roster.Incarnation]int{{ID: "e0"}: 1}))
 		l.Done(balance.Served, now)
 		Expect(b.InFlight()).To(BeEmpty())
 	})
@@ -330,7 +330,7 @@
 	It("of an endpoint that is unresponsive to several requests begins at once and is reported", func() {
 		b := balancer(endpoints(4))
 		id := silence(b, 2, now)
-		Expect(b.Suspects(now)).To(Equal([]roster.Life{{ID: id}}))
+		Expect(b.Suspects(now)).To(Equal([]roster.Incarnation{{ID: id}}))
 		Expect(b.Suspects(at(2499))).To(HaveLen(1), "this gateway sends the probe")
 		Expect(b.Suspects(at(2500))).To(BeEmpty(), "other gateways do not wait for the probe indefinitely")
 	})
@@ -358,7 +358,7 @@
 	})
 	It("by other gateways keeps this gateway away, unless it receives data from the endpoint", func() {
 		var id string
-		b := balancerWithSuspects(endpoints(2), func(suspected roster.Life) bool { return suspected.ID == id })
+		b := balancerWithSuspects(endpoints(2), func(suspected roster.Incarnation) bool { return suspected.ID == id })
 		lease := pick(b, balance.Query{Service: "s"}, now)
 		id = lease.Record.ID
 		for range 4 {
@@ -368,7 +368,7 @@
 		Expect(pick(b, balance.Query{Service: "s"}, at(100)).Record.ID).To(Equal(id))
 	})
 	It("does not leave a service without endpoints", func() {
-		b := balancerWithSuspects(endpoints(1), func(roster.Life) bool { return true })
+		b := balancerWithSuspects(endpoints(1), func(roster.Incarnation) bool { return true })
 		Expect(pick(b, balance.Query{Service: "s"}, now).Record.ID).To(Equal("e0"))
 	})
 })
--- a/gateway/balance/choice.go
+++ b/gateway/balance/choice.go
@@ -80,7 +80,7 @@
 	OpensIn time.Duration
 	// TokenFrom is one of these endpoints whose holder can be asked for a token, if there
 	// is one.
-	TokenFrom roster.Life
+	TokenFrom roster.Incarnation
 }
 
 func (e *FullError) Error() string {
@@ -150,12 +150,12 @@
 
 // requestToken returns the endpoint whose holder should be asked for a token, if there is
 // one that is not already being asked through Config.OnStaleLimit.
-func (c *candidates) requestToken(now time.Time) roster.Life {
+func (c *candidates) requestToken(now time.Time) roster.Incarnation {
 	if c.tokenFrom == nil || c.tokenFrom == c.staleLimit {
-		return roster.Life{}
+		return roster.Incarnation{}
 	}
 	c.tokenFrom.advisory.limit.noteTokenRequest(now)
-	return c.tokenFrom.record.Life()
+	return c.tokenFrom.record.Incarnation()
 }
 
 // choose returns the endpoint with the lowest cost among those that the gateway prefers and
@@ -166,7 +166,7 @@
 	c := b.candidates(s, q, now)
 	if e := c.staleLimit; e != nil {
 		e.advisory.limit.noteTokenRequest(now)
-		b.cfg.OnStaleLimit(e.record.Life())
+		b.cfg.OnStaleLimit(e.record.Incarnation())
 	}
 	for _, sampled := range [][]endpointLoad{c.sameZone.items(), c.otherZone.items(), c.upToDate.items()} {
 		for _, x := range sampled {
--- a/gateway/balance/fleet_test.go
+++ b/gateway/balance/fleet_test.go
@@ -81,8 +81,8 @@
 	rand                 *rand.Rand
 	gateways             []*balance.Balancer
 	servers              map[string]*server
-	reported             []map[roster.Life]int
-	reportedTotal        map[roster.Life]int
+	reported             []map[roster.Incarnation]int
+	reportedTotal        map[roster.Incarnation]int
 	endpointsWithWeights int
 
 	requests, refused, late int
@@ -92,7 +92,7 @@
 
 // simulate runs s and returns the fleet after all requests have ended.
 func simulate(s scenario, seed uint64) *fleet {
-	f := &fleet{rand: rand.New(rand.NewPCG(seed, 1)), servers: map[string]*server{}, reportedTotal: map[roster.Life]int{}}
+	f := &fleet{rand: rand.New(rand.NewPCG(seed, 1)), servers: map[string]*server{}, reportedTotal: map[roster.Incarnation]int{}}
 	list := &roster.List{Endpoints: map[string]*roster.Endpoint{}}
 	var live []member.Entry
 	for z := range s.zones {
@@ -113,7 +113,7 @@
 	for g, self := range slices.Clone(live) {
 		b := balance.New(balance.Config{
 			Zone:      self.Zone,
-			OtherLoad: func(l roster.Life) int { return f.reportedTotal[l] - f.reported[g][l] },
+			OtherLoad: func(l roster.Incarnation) int { return f.reportedTotal[l] - f.reported[g][l] },
 			Random:    f.rand.Float64,
 		})
 		b.Update(list)
@@ -165,8 +165,8 @@
 
 // publishLoads sends the loads of all gateways to each other and schedules the next report.
 func (f *fleet) publishLoads() {
-	loads := make([]map[roster.Life]int, len(f.gateways))
-	sum := map[roster.Life]int{}
+	loads := make([]map[roster.Incarnation]int, len(f.gateways))
+	sum := map[roster.Incarnation]int{}
 	for g, b := range f.gateways {
 		loads[g] = b.InFlight()
 		for l, n := range loads[g] {
--- a/gateway/balance/idle_test.go
+++ b/gateway/balance/idle_test.go
@@ -46,7 +46,7 @@
 	BeforeEach(func() {
 		began = time.Now()
 		now = began.Add(maxIdle + time.Millisecond)
-		b = balance.New(balance.Config{Zone: "a", OtherLoad: func(roster.Life) int { return 0 }, Random: func() float64 { return 0 }})
+		b = balance.New(balance.Config{Zone: "a", OtherLoad: func(roster.Incarnation) int { return 0 }, Random: func() float64 { return 0 }})
 		list := &roster.List{Revision: 1, Endpoints: map[string]*roster.Endpoint{}}
 		for _, id := range []string{"e0", "e1", "e2", "e3"} {
 			list.Endpoints[id] = &roster.Endpoint{ID: id, Service: "s", Addr: id, Zone: "a", Slots: 4}
--- a/gateway/balance/propagation.go
+++ b/gateway/balance/propagation.go
@@ -76,7 +76,7 @@
 		l.confirmedAt = now
 	}
 	return advisory.Record{
-		Endpoint:    e.record.Life(),
+		Endpoint:    e.record.Incarnation(),
 		Limit:       l.advertised(),
 		HeardAt:     l.heardAt,
 		ConfirmedAt: l.confirmedAt,
--- a/gateway/balance/restart_test.go
+++ b/gateway/balance/restart_test.go
@@ -48,12 +48,12 @@
 	It("has none of the requests of its earlier incarnation", func() {
 		b := balancer(oneEndpoint(5, 1))
 		old := pick(b, s, now)
-		Expect(b.InFlight()).To(Equal(map[roster.Life]int{{ID: "e0", Born: 5}: 1}))
+		Expect(b.InFlight()).To(Equal(map[roster.Incarnation]int{{ID: "e0", Born: 5}: 1}))
 		b.Update(oneEndpoint(6, 1))
 		Expect(b.InFlight()).To(BeEmpty())
 		l := pick(b, s, now)
 		old.Done(balance.Unreachable, now)
-		Expect(b.InFlight()).To(Equal(map[roster.Life]int{{ID: "e0", Born: 6}: 1}))
+		Expect(b.InFlight()).To(Equal(map[roster.Incarnation]int{{ID: "e0", Born: 6}: 1}))
 		Expect(available(b, s, now)).To(BeTrue(), "a request of the earlier incarnation does not count")
 		l.Done(balance.Served, now)
 		Expect(b.InFlight()).To(BeEmpty())
@@ -68,7 +68,7 @@
 		Expect(events).To(BeZero())
 	})
 	It("is not suspected by other gateways for its earlier incarnation", func() {
-		b := balancerWithSuspects(oneEndpoint(5, 1), func(l roster.Life) bool { return l == roster.Life{ID: "e0", Born: 5} })
+		b := balancerWithSuspects(oneEndpoint(5, 1), func(l roster.Incarnation) bool { return l == roster.Incarnation{ID: "e0", Born: 5} })
 		Expect(available(b, s, now)).To(BeFalse())
 		b.Update(oneEndpoint(6, 1))
 		Expect(available(b, s, now)).To(BeTrue())
--- a/gateway/balance/shard.go
+++ b/gateway/balance/shard.go
@@ -62,8 +62,8 @@
 		switch {
 		case e == nil:
 			s.endpoints[id] = s.newEndpoint(r)
-		case r.Life().Before(e.record.Life()):
-		case r.Life().Same(e.record.Life()):
+		case r.Incarnation().Before(e.record.Incarnation()):
+		case r.Incarnation().Same(e.record.Incarnation()):
 			e.record = r
 		default:
 			s.restart(e, r)
--- a/gateway/balance/suspect.go
+++ b/gateway/balance/suspect.go
@@ -29,16 +29,16 @@
 	if e.health.ejections > 0 || now.Sub(e.lastByte.load()) < recentActivityWindow {
 		return true
 	}
-	return !b.cfg.Suspected(e.record.Life())
+	return !b.cfg.Suspected(e.record.Incarnation())
 }
 
 // suspects returns the endpoints that other gateways are asked to leave to this one. The
 // lock must be held.
-func (s *shard) suspects(now time.Time) []roster.Life {
-	var out []roster.Life
+func (s *shard) suspects(now time.Time) []roster.Incarnation {
+	var out []roster.Incarnation
 	for _, e := range s.endpoints {
 		if e.health.suspect && e.health.ejections > 0 && now.Before(e.health.ejectedUntil.Add(suspicionTime)) {
-			out = append(out, e.record.Life())
+			out = append(out, e.record.Incarnation())
 		}
 	}
 	if len(out) > 1 && float64(len(out)) > maxSuspectFraction*float64(len(s.endpoints)) {
--- a/gateway/balance/token.go
+++ b/gateway/balance/token.go
@@ -106,7 +106,7 @@
 }
 
 // Grant implements tokens.Granter.
-func (b *Balancer) Grant(gateway string, of roster.Life, now time.Time) (granted bool, opensIn time.Duration) {
+func (b *Balancer) Grant(gateway string, of roster.Incarnation, now time.Time) (granted bool, opensIn time.Duration) {
 	b.withEndpoint(of, func(e *endpoint) {
 		if !e.held {
 			return
@@ -119,7 +119,7 @@
 
 // ApplyTokenReply applies the holder's reply to a token request: either a token, which is
 // valid after opensIn, or the time after which to ask again.
-func (b *Balancer) ApplyTokenReply(of roster.Life, granted bool, opensIn time.Duration, now time.Time) {
+func (b *Balancer) ApplyTokenReply(of roster.Incarnation, granted bool, opensIn time.Duration, now time.Time) {
 	b.withEndpoint(of, func(e *endpoint) {
 		l := &e.advisory.limit
 		if granted {
@@ -132,9 +132,9 @@
 
 // withEndpoint calls f with the given incarnation of an endpoint, if it is known, with the
 // lock held.
-func (b *Balancer) withEndpoint(of roster.Life, f func(*endpoint)) {
+func (b *Balancer) withEndpoint(of roster.Incarnation, f func(*endpoint)) {
 	b.eachShard(func(s *shard) {
-		if e := s.endpoints[of.ID]; e != nil && e.record.Life().Same(of) {
+		if e := s.endpoints[of.ID]; e != nil && e.record.Incarnation().Same(of) {
 			f(e)
 		}
 	})
--- a/gateway/endpoints/endpoints.go
+++ b/gateway/endpoints/endpoints.go
@@ -89,7 +89,7 @@
 	listed := len(list.Endpoints)
 	before := l.current.Load()
 	l.keepLaterLives(list, before, now)
-	end := l.cfg.Retention.Fill(list, before, now)
+	end := l.cfg.Retention.AddRetained(list, before, now)
 	if kept := len(list.Endpoints) - listed; kept > 0 {
 		l.cfg.Log.Info("lapsed endpoints kept", "endpoints", kept, "forMs", end.Sub(now).Milliseconds(), "revision", list.Revision)
 		time.AfterFunc(end.Sub(now), l.Update)
@@ -137,7 +137,7 @@
 	}
 	for name, e := range list.Endpoints {
 		known := before.Endpoints[name]
-		if known == nil || !e.Life().Before(known.Life()) {
+		if known == nil || !e.Incarnation().Before(known.Incarnation()) {
 			continue
 		}
 		left := l.decoded[name].readAt.Add(l.cfg.Lapse).Sub(now)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,11 +1,11 @@
-// Package gateway is the program silverdeck-gateway, which runs on the entry VMs
-// of the users' platform. It puts its parts together, starts and stops them, and
-// hands on what the copies of the platform's store and the heartbeats of other
-// gateways tell.
+// Package gateway implements the silverdeck-gateway program, which runs on the front
+// machines of the users' platform. It creates, starts and stops the components, and passes
+// on to them what the mirrors of the platform's store and the heartbeats of other gateways
+// report.
 //
-// The parts decide: proxy and policy about requests, balance about endpoints,
-// endpoints about which there are, replica about copies of the store, member about
-// who is alive, versions about which weights are new enough.
+// The components make the decisions: proxy and policy on requests, balance on endpoints,
+// endpoints on which endpoints exist, replica on copying the store between gateways, member
+// on which gateways are alive, versions on which model versions may still be used.
 package gateway
 
 import (
@@ -38,104 +38,107 @@
 	"github.com/silverdeck/silverdeck/versions"
 )
 
-// Margins to what the platform allows.
+// Margins on limits set by the platform.
 const (
-	// versionMargin is how long before their limit no request is sent to old weights any
-	// more, since the endpoint would refuse it: its sidecar unloads them 0.5 s before the
-	// limit. What is on its way longer is refused there.
+	// versionMargin is how long before a version's limit requests to older weights stop. The
+	// sidecar unloads the weights 0.5 s before the limit, and the endpoint refuses requests
+	// that arrive after that.
 	versionMargin = 800 * time.Millisecond
-	// retainLapsed is for how long after the store's return endpoints are kept
-	// whose records lapsed meanwhile: the platform says that they are written again
-	// in about two seconds.
-	retainLapsed = 2200 * time.Millisecond
+	// lapsedRetention is how long endpoints whose records lapsed during a store outage are
+	// kept after the store recovers. According to the platform, the records are written again
+	// within about two seconds.
+	lapsedRetention = 2200 * time.Millisecond
 )
 
-// Gateway is the program's state.
+// Gateway is one gateway process.
 type Gateway struct {
 	cfg      *platform.Settings
 	log      *log.Logger
 	registry metrics.Registry
-	// began is when the process started.
-	began time.Time
-
-	store     *platform.Store
-	mirrors   map[string]*mirror.Mirror
-	syncer    *replica.Syncer
-	table     *member.Table
-	beater    *member.Heartbeater
-	self      member.Entry
-	endpoints *endpoints.List
-	versions  *versions.History
-	balancer  *balance.Balancer
-	client    *upstream.Client
-	proxy     *proxy.Proxy
-	// poison is what is known of requests under which endpoints ended, trials are the leases
-	// on them that this gateway keeps.
+	// startedAt is when the process started.
+	startedAt time.Time
+
+	store       *platform.Store
+	mirrors     map[string]*mirror.Mirror
+	syncer      *replica.Syncer
+	table       *member.Table
+	heartbeater *member.Heartbeater
+	self        member.Entry
+	endpoints   *endpoints.List
+	versions    *versions.History
+	balancer    *balance.Balancer
+	client      *upstream.Client
+	proxy       *proxy.Proxy
+	// poison records requests under which endpoints crashed; trials holds the leases on such
+	// requests that this gateway grants.
 	poison *poison.Table
 	trials *poison.Trials
-	// loads are the leases on loads of weights that this gateway gives.
+	// loads holds the leases on loading weights that this gateway grants.
 	loads *leases.Table
-	// quarantineKnown ends once this gateway knows which requests are quarantined, as
-	// knowQuarantine says; see awaitQuarantine.
-	quarantineKnown context.Context
-	knowQuarantine  context.CancelFunc
-	// holders numbers the copies of requests that ask for such a lease.
-	holders   atomic.Uint64
-	inventory *inventory.Server
-	// peers keeps connections to other gateways for questions about namings.
+	// quarantineLoaded is done once the quarantined requests are known or waiting for them has
+	// timed out; markQuarantineLoaded ends it. See awaitQuarantine.
+	quarantineLoaded     context.Context
+	markQuarantineLoaded context.CancelFunc
+	// lastTrialID numbers the copies of requests that ask for a trial lease.
+	lastTrialID atomic.Uint64
+	inventory   *inventory.Server
+	// peers holds connections to other gateways, for naming, token and trial requests and for
+	// rolls.
 	peers *peerconn.Pool
-	// namingsWanted asks for them, see followNamings.
-	namingsWanted chan struct{}
-	// badVersions and the others account for records of their kinds that can't be used.
-	badVersions, badMembers, badQuarantines *unreadable.Records
-	// versionsRead is set once a first copy of the named versions was taken in.
-	versionsRead atomic.Bool
-
-	// suspension tells when the VM was suspended. Only the Beater's goroutine uses it.
+	// namingsRequested wakes runNamingQueries.
+	namingsRequested chan struct{}
+	// unreadableVersions, unreadableMembers and unreadableQuarantines track records that
+	// can't be decoded.
+	unreadableVersions, unreadableMembers, unreadableQuarantines *unreadable.Records
+	// versionsLoaded is set once the first list of versions was applied.
+	versionsLoaded atomic.Bool
+
+	// suspension detects that the VM was suspended. Only the Heartbeater's goroutine uses it.
 	suspension *suspend.Watch
-	// dealt is from what endpoints were last dealt out. Only the Beater's goroutine uses it.
-	dealt dealt
-
-	leaving atomic.Bool
-	cancel  context.CancelFunc
-	// callers serves requests; others are the servers of the other addresses.
-	callers *serve.Reloadable
-	others  []*http.Server
+	// lastAssignment holds the inputs of the last assignment of endpoints to gateways. Only
+	// the Heartbeater's goroutine uses it.
+	lastAssignment assignmentInputs
+
+	stopping atomic.Bool
+	cancel   context.CancelFunc
+	// callerServer serves callers' requests; otherServers serve the other addresses.
+	callerServer *serve.Reloadable
+	otherServers []*http.Server
 }
 
-// New returns a Gateway that is not started.
+// New returns a Gateway that has not been started.
 func New(cfg *platform.Settings, l *log.Logger, registry metrics.Registry) *Gateway {
 	g := &Gateway{
-		cfg:      cfg,
-		log:      l,
-		registry: registry,
-		began:    time.Now(),
-		store:    platform.NewStore(cfg.Store),
-		client:   upstream.NewClient(),
-		versions: versions.New(cfg.VersionLimit),
-		self:     newEntry(cfg),
-		peers:    peerconn.NewPool(&net.Dialer{Timeout: namingLimit}),
+		cfg:       cfg,
+		log:       l,
+		registry:  registry,
+		startedAt: time.Now(),
+		store:     platform.NewStore(cfg.Store),
+		client:    upstream.NewClient(),
+		versions:  versions.New(cfg.VersionLimit),
+		self:      newEntry(cfg),
+		peers:     peerconn.NewPool(&net.Dialer{Timeout: namingTimeout}),
 
 		suspension: suspend.NewWatch(suspend.SystemClocks),
 
-		namingsWanted: make(chan struct{}, 1),
+		namingsRequested: make(chan struct{}, 1),
 	}
-	g.quarantineKnown, g.knowQuarantine = context.WithCancel(context.Background())
-	g.poison, g.trials = poison.NewTable(g.notePoison), poison.NewTrials()
+	g.quarantineLoaded, g.markQuarantineLoaded = context.WithCancel(context.Background())
+	g.poison, g.trials = poison.NewTable(g.onPoisonChange), poison.NewTrials()
 	g.loads = leases.NewTable()
 	g.table = member.NewTable(g.self)
 	g.endpoints = g.newEndpoints()
-	g.badVersions = unreadable.New(platform.KindVersions, registry, l)
-	g.badMembers = unreadable.New(platform.KindMembers, registry, l)
-	g.badQuarantines = unreadable.New(platform.KindQuarantine, registry, l)
+	g.unreadableVersions = unreadable.New(platform.KindVersions, registry, l)
+	g.unreadableMembers = unreadable.New(platform.KindMembers, registry, l)
+	g.unreadableQuarantines = unreadable.New(platform.KindQuarantine, registry, l)
 	g.balancer = balance.New(balance.Config{
 		Zone:           cfg.Zone,
 		OtherLoad:      g.table.InFlight,
 		Suspected:      g.table.Suspected,
 		Random:         rand.Float64,
-		OnHealthChange: g.logBelief,
-		OnAdvisory:     g.noteAdvised,
-		OnStaleLimit:   g.askUnheard,
+		OnHealthChange: g.logHealthEvent,
+		OnAdvisory:     g.onAdvisory,
+		OnStaleLimit:   g.refreshStaleLimit,
 	})
 	g.proxy = g.newProxy()
 	g.syncer = replica.New(g.table, l)
@@ -145,7 +148,8 @@
 	return g
 }
 
-// newEntry returns what this gateway tells others of itself, with a life of its own.
+// newEntry returns the entry by which other gateways know this one, with a random
+// incarnation number.
 func newEntry(cfg *platform.Settings) member.Entry {
 	return member.Entry{
 		Name:    cfg.VM,
@@ -162,9 +166,9 @@
 func (g *Gateway) newEndpoints() *endpoints.List {
 	return endpoints.New(endpoints.Config{
 		Records:   func() *mirror.State { return g.mirrors[platform.KindEndpoints].State() },
-		Retention: roster.NewRetention(retainLapsed, min(retainLapsed, g.cfg.DrainLimit*2/3)),
-		Changed:   g.useEndpoints,
-		// Three heartbeats without a write, as the platform has it.
+		Retention: roster.NewRetention(lapsedRetention, min(lapsedRetention, g.cfg.DrainLimit*2/3)),
+		Changed:   g.applyEndpoints,
+		// The platform drops a record after three heartbeats without a write.
 		Lapse:      3 * g.cfg.Heartbeat,
 		Unreadable: unreadable.New(platform.KindEndpoints, g.registry, g.log).Note,
 		Log:        g.log,
@@ -183,15 +187,15 @@
 		NewestVersion:   g.versions.Latest,
 		WeightsDeadline: g.versions.End,
 		ReadAdvisory:    platform.ReadAdvisory,
-		AskToken:        g.askToken,
+		AskToken:        g.requestToken,
 
 		Poison:       g.poison,
-		AcquireTrial: g.beginTrial,
+		AcquireTrial: g.acquireTrial,
 		Random:       rand.Float64,
 	})
 }
 
-// minVersion returns the version of model below which no request is sent any more.
+// minVersion returns the oldest version of model to which requests may be sent.
 func (g *Gateway) minVersion(model string) int64 {
 	return g.versions.Required(model, time.Now().Add(versionMargin))
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -27,10 +27,10 @@
 	"github.com/silverdeck/silverdeck/telemetry"
 )
 
-// patience bounds a wait for what takes well under a second on an idle machine.
-const patience = 20 * time.Second
+// eventuallyTimeout bounds waits for events that take well under a second on an idle machine.
+const eventuallyTimeout = 20 * time.Second
 
-// specs are what the store holds before the gateway starts; %s stands for limits.
+// specs is the initial content of the store; %s is replaced by the configuration's limits.
 var specs = []struct{ kind, name, spec string }{
 	{platform.KindConfig, platform.ConfigName, `{"version":3,%s"routes":[{"name":"r","hostname":"h","path_prefix":"/","kind":"safe","timeout_ms":1000,"service":"llm"}],
 		"services":[{"name":"llm","engine":{"models":[{"name":"m"}]}},{"name":"o","origin":"10.9.0.1:80","link_mbps":15}]}`},
@@ -38,18 +38,18 @@
 	{platform.KindVersions, "m", `{"model":"m","version":2}`},
 }
 
-// startGateway starts a gateway on loopback addresses of this process's own and
-// returns its settings. limits are the configuration's for callers, or empty.
+// startGateway starts a gateway on loopback addresses that are unique to this process, and
+// returns its settings. limits is the "limits" member of the configuration, or empty.
 func startGateway(t *testing.T, limits string) *platform.Settings {
 	store := standin.NewStore()
 	for _, s := range specs {
 		store.Put(s.kind, s.name, json.RawMessage(strings.Replace(s.spec, "%s", limits, 1)))
 	}
-	return startGatewayBefore(t, store, 1)
+	return startGatewayWithStore(t, store, 1)
 }
 
-// startGatewayBefore starts gateway n before store and returns its settings.
-func startGatewayBefore(t *testing.T, store *standin.Store, n int) *platform.Settings {
+// startGatewayWithStore starts gateway n with store and returns its settings.
+func startGatewayWithStore(t *testing.T, store *standin.Store, n int) *platform.Settings {
 	g := NewWithT(t)
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
@@ -64,7 +64,7 @@
 	gw := gateway.New(cfg, log.New(io.Discard), metrics.NewRegistry())
 	g.Expect(gw.Start(context.Background())).To(Succeed())
 	t.Cleanup(func() { _ = gw.Stop(context.Background()) })
-	g.Eventually(gw.Ready, patience).Should(Succeed())
+	g.Eventually(gw.Ready, eventuallyTimeout).Should(Succeed())
 	return cfg
 }
 
@@ -102,18 +102,18 @@
 	defer pool.Close()
 	var inv inventory.Inventory
 	ask := func() error {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 		defer cancel()
 		return pool.Call(ctx, cfg.Peer, inventory.Method, inventory.Query{Service: "llm", Wait: time.Second}, &inv)
 	}
-	g.Eventually(ask, patience).Should(Succeed())
+	g.Eventually(ask, eventuallyTimeout).Should(Succeed())
 	g.Expect(inv.Versions).To(Equal([]inventory.Version{{Model: "m", Version: 2}}))
 	g.Expect(inv.FromConfig()).To(Equal(inventory.FromConfig{Models: []string{"m"}, Origin: "10.9.0.1:80", OriginMbps: 15}))
 	g.Expect(inv.Members[0].Addr).To(Equal("10.0.0.1:7003"))
 	g.Expect(inv.Entries).To(Equal([]inventory.Place{{Addr: cfg.Peer, Zone: "a"}}))
 }
 
-// limits are bounds for callers, well above what a server of ours has of its own.
+// limits sets caller limits well above the gateway's own defaults.
 const limits = `"limits":{"max_header_bytes":204800,"max_body_bytes":1000,"header_timeout_ms":2000,"idle_timeout_ms":30000},`
 
 func TestCallersHeadersAreBoundedByTheConfiguration(t *testing.T) {
--- a/gateway/learn.go
+++ b/gateway/learn.go
@@ -10,8 +10,8 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// useNotice takes in what the process beside an endpoint tells.
-func (g *Gateway) useNotice(n member.Notice) {
+// applyNotice applies a notice from an endpoint's sidecar.
+func (g *Gateway) applyNotice(n member.Notice) {
 	pause := time.Duration(n.PauseMS) * time.Millisecond
 	g.log.Info("notice", "addr", n.Addr, "born", n.Born, "pauseMs", n.PauseMS, "model", n.Model, "version", n.Version)
 	if n.Version != 0 {
@@ -25,9 +25,9 @@
 	})
 }
 
-// useConfig puts the copy of the configuration in force. One that can't be read
-// leaves the former in force.
-func (g *Gateway) useConfig(s *mirror.State) {
+// applyConfig puts the configuration in s into force. If it can't be decoded, the previous
+// one stays in force.
+func (g *Gateway) applyConfig(s *mirror.State) {
 	stored, found := s.Objects[platform.ConfigName]
 	if !found {
 		return
@@ -41,58 +41,58 @@
 		return
 	}
 	g.awaitQuarantine()
-	// Limits come first: the gateway is ready once a configuration is in force.
-	g.callers.SetLimits(ConnectionLimits(config.Limits))
+	// Set the limits first: the gateway becomes ready once it has a configuration.
+	g.callerServer.SetLimits(ConnectionLimits(config.Limits))
 	g.proxy.SetConfig(config)
 	g.log.Info("configuration in force", "version", config.Version, "revision", config.Revision)
 	g.inventory.Announce()
 }
 
-// useEndpoints puts a list of endpoints in force.
-func (g *Gateway) useEndpoints(list *roster.List) {
+// applyEndpoints puts a list of endpoints into force.
+func (g *Gateway) applyEndpoints(list *roster.List) {
 	g.balancer.Update(list)
 	g.client.Keep(list.ByAddr(), time.Now())
 }
 
-// logBelief writes a line when an endpoint is ejected, used again or reassigned.
-func (g *Gateway) logBelief(b balance.HealthEvent) {
+// logHealthEvent logs that an endpoint was ejected, restored or reassigned.
+func (g *Gateway) logHealthEvent(b balance.HealthEvent) {
 	g.log.Info("endpoint health", "endpoint", b.Endpoint, "change", b.Change.String(),
 		"failures", b.FailureRate, "forMs", time.Until(b.EjectedUntil).Milliseconds())
 }
 
-// useVersions takes in the versions that are named.
-func (g *Gateway) useVersions(s *mirror.State) {
-	found := !g.versionsRead.Swap(true)
+// applyVersions applies the named versions in s.
+func (g *Gateway) applyVersions(s *mirror.State) {
+	found := !g.versionsLoaded.Swap(true)
 	for name, stored := range s.Objects {
 		v, err := platform.DecodeVersion(stored.Data)
 		if err != nil {
-			g.badVersions.Note(name, err)
+			g.unreadableVersions.Note(name, err)
 			continue
 		}
-		if g.noteVersion(v.Model, v.Version, found) {
+		if g.addVersion(v.Model, v.Version, found) {
 			g.log.Info("version named", "model", v.Model, "version", v.Version, "revision", stored.Revision, "found", found)
 			g.inventory.Announce()
-			g.wantNamings()
+			g.requestNamings()
 		}
 	}
 }
 
-// noteVersion takes in a version that is named, or found at the start, and returns
-// whether it is the newest.
-func (g *Gateway) noteVersion(model string, version int64, found bool) bool {
+// addVersion records a named version and reports whether it is the newest. found is set for
+// versions that were named before this gateway started, at an unknown time.
+func (g *Gateway) addVersion(model string, version int64, found bool) bool {
 	if found {
 		return g.versions.Find(model, version, time.Now())
 	}
 	return g.versions.Add(model, version, time.Now())
 }
 
-// useMembers takes in the gateways that the store lists.
-func (g *Gateway) useMembers(s *mirror.State) {
+// applyMembers applies the gateways listed in the store.
+func (g *Gateway) applyMembers(s *mirror.State) {
 	var entries []member.Entry
 	for name, stored := range s.Objects {
 		entry, err := platform.DecodeMember(stored.Data)
 		if err != nil {
-			g.badMembers.Note(name, err)
+			g.unreadableMembers.Note(name, err)
 			continue
 		}
 		entries = append(entries, *entry)
--- a/gateway/namings.go
+++ b/gateway/namings.go
@@ -12,89 +12,92 @@
 	"github.com/silverdeck/silverdeck/wait"
 )
 
-// Asking other gateways when versions were named.
+// Queries to other gateways for the times at which versions were named.
 const (
-	// namingPeers is how many are to answer: one may have heard late itself.
-	namingPeers = 2
-	// namingTries is how often others are asked in quick succession; a gateway that starts
-	// hears of them within a heartbeat.
-	namingTries = 10
-	// namingPause is the time before each of these.
-	namingPause = 200 * time.Millisecond
-	// namingPauseLater is that before each further one.
-	namingPauseLater = time.Second
-	// namingLimit bounds one question.
-	namingLimit = time.Second
-	// namingNews is how much earlier than known a naming must be to be worth a line; the
-	// way there and back makes up less.
-	namingNews = 100 * time.Millisecond
+	// maxNamingAnswers is how many gateways should answer: a single one may itself have
+	// learned of the version late.
+	maxNamingAnswers = 2
+	// namingFastAttempts is how many queries are sent at namingFastInterval. A gateway that
+	// starts learns of the others within a heartbeat.
+	namingFastAttempts = 10
+	// namingFastInterval is the pause before each of these queries.
+	namingFastInterval = 200 * time.Millisecond
+	// namingSlowInterval is the pause before each later query.
+	namingSlowInterval = time.Second
+	// namingTimeout bounds one query.
+	namingTimeout = time.Second
+	// minNamingCorrection is the smallest correction that is logged; smaller ones are within
+	// the round-trip time.
+	minNamingCorrection = 100 * time.Millisecond
 )
 
-// foundShare is the part of the contact time after which a found version is required if
-// most endpoints hold it; the rest is for requests on their way.
-const foundShare = 0.5
+// foundContactShare is the fraction of the contact time after which a found version becomes
+// required if most endpoints hold it. The rest of the contact time is left for requests in
+// flight.
+const foundContactShare = 0.5
 
-// followNamings asks other gateways when versions were named, each time this one heard
-// of some, until ctx ends. This one may have been cut off, or have just started: a limit
-// that counted from when it heard would end later than the platform's.
-func (g *Gateway) followNamings(ctx context.Context) {
+// runNamingQueries asks other gateways when versions were named, whenever this gateway
+// learns of new ones, until ctx ends. This gateway may have been partitioned or have just
+// started; if the limit counted from when it learned of a version, it would end later than
+// the platform's.
+func (g *Gateway) runNamingQueries(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.namingsWanted:
+		case <-g.namingsRequested:
 		}
 		answered := map[string]bool{}
-		for try := 0; namingsMissing(len(answered), try) && g.namingsMatter(); try++ {
-			pause := namingPause
-			if try >= namingTries {
-				pause = namingPauseLater
+		for try := 0; needsNamings(len(answered), try) && g.hasPendingVersion(); try++ {
+			pause := namingFastInterval
+			if try >= namingFastAttempts {
+				pause = namingSlowInterval
 			}
 			if !wait.For(ctx, pause) {
 				return
 			}
-			g.askNamings(ctx, answered)
+			g.fetchNamings(ctx, answered)
 		}
 	}
 }
 
-// namingsMissing returns whether one more gateway is to be asked, where so many have
-// answered in so many tries. One is waited for however long others are out of reach.
-func namingsMissing(answers, tries int) bool {
-	return answers == 0 || (answers < namingPeers && tries < namingTries)
+// needsNamings reports whether another gateway should be asked after the given numbers of
+// answers and attempts. Attempts continue until there is at least one answer.
+func needsNamings(answers, tries int) bool {
+	return answers == 0 || (answers < maxNamingAnswers && tries < namingFastAttempts)
 }
 
-// namingsMatter returns whether it still matters when the newest versions were named:
-// whether one of them is not required yet.
-func (g *Gateway) namingsMatter() bool {
+// hasPendingVersion reports whether a newest version is not required yet, so that the time
+// at which it was named still matters.
+func (g *Gateway) hasPendingVersion() bool {
 	return slices.ContainsFunc(g.versions.Newest(), func(n versions.Naming) bool { return g.minVersion(n.Model) < n.Version })
 }
 
-// wantNamings makes followNamings ask.
-func (g *Gateway) wantNamings() {
+// requestNamings wakes runNamingQueries.
+func (g *Gateway) requestNamings() {
 	select {
-	case g.namingsWanted <- struct{}{}:
-	default: // it is going to already
+	case g.namingsRequested <- struct{}{}:
+	default: // a request is already pending
 	}
 }
 
-// askNamings asks a live gateway that is not in answered, and adds it there if it knew
-// of all versions.
-func (g *Gateway) askNamings(ctx context.Context, answered map[string]bool) {
+// fetchNamings asks a live gateway that is not in answered, and adds it to answered if it
+// knew all of the newest versions.
+func (g *Gateway) fetchNamings(ctx context.Context, answered map[string]bool) {
 	live := slices.DeleteFunc(g.table.Live(), func(e member.Entry) bool { return answered[e.Name] })
 	if len(live) == 0 {
 		return
 	}
 	peer := live[rand.IntN(len(live))]
-	ctx, cancel := context.WithTimeout(ctx, namingLimit)
+	ctx, cancel := context.WithTimeout(ctx, namingTimeout)
 	defer cancel()
 	namings, err := inventory.AskNamings(ctx, g.peers, peer.Peer)
 	if err != nil {
-		g.log.Debug("no namings from another entry", "peer", peer.Peer, "err", err)
+		g.log.Debug("naming query failed", "peer", peer.Peer, "err", err)
 		return
 	}
 	for _, n := range namings {
-		if earlier := g.versions.Correct(n); earlier >= namingNews {
+		if earlier := g.versions.Correct(n); earlier >= minNamingCorrection {
 			g.log.Info("version named earlier", "model", n.Model, "version", n.Version,
 				"peer", peer.Peer, "byMs", earlier.Milliseconds())
 		}
@@ -104,14 +107,14 @@
 	}
 }
 
-// requireHeld requires the versions that this gateway found at its start, and that
-// nobody could tell it of, once most endpoints hold them: their limit can't be far.
-// Counted anew from the start, it would let endpoints that lag begin requests for the
-// whole limit once more after a kill of all processes. For the contact time the platform
-// does not hold a process that has started to its limits.
-func (g *Gateway) requireHeld(now time.Time) {
+// requireWidelyHeld requires found versions whose naming time no other gateway knows once
+// most endpoints hold them, since their limit can't be far off. After a restart of all
+// processes, counting the limit from the start would let requests go to outdated endpoints
+// for the whole limit once more. The platform does not enforce its limits on a process
+// during the contact time after its start.
+func (g *Gateway) requireWidelyHeld(now time.Time) {
 	list := g.endpoints.Current()
-	if list == nil || now.Sub(g.began) < time.Duration(foundShare*float64(g.cfg.ContactTime)) {
+	if list == nil || now.Sub(g.startedAt) < time.Duration(foundContactShare*float64(g.cfg.ContactTime)) {
 		return
 	}
 	for _, n := range g.versions.Newest() {
--- a/gateway/namings_test.go
+++ b/gateway/namings_test.go
@@ -13,7 +13,7 @@
 	"github.com/silverdeck/silverdeck/standin"
 )
 
-// versionState is what a gateway shows of a model's newest version.
+// versionState is a model's newest version as shown at /debug/state.
 type versionState struct {
 	Version  int64
 	AgeMS    int64
@@ -21,8 +21,8 @@
 	Required int64
 }
 
-// newestVersion returns what the gateway shows of its only model, or nothing before it
-// has read of one.
+// newestVersion returns the newest version of the only model, or the zero value before the
+// gateway has read one.
 func newestVersion(g *WithT, cfg *platform.Settings) versionState {
 	_, body := get(g, "http://"+cfg.Observe+"/debug/state", "")
 	var shown struct{ Versions []versionState }
@@ -33,8 +33,8 @@
 	return shown.Versions[0]
 }
 
-// newStore returns a store with version 2 of a model named and endpoints that hold
-// versions.
+// newStore returns a store that names version 2 of a model and has one endpoint for each of
+// the held versions.
 func newStore(held ...int) *standin.Store {
 	store := standin.NewStore()
 	for _, s := range specs {
@@ -47,40 +47,40 @@
 	return store
 }
 
-// What users saw: after all processes had been killed, answers came from weights that had
-// been replaced long before. Each gateway that started gave the version that it found the
-// whole limit once more, and sent requests to endpoints that lagged.
+// Guards against responses from outdated weights after a restart of all processes: a starting
+// gateway that grants a found version the whole limit again sends requests to endpoints that
+// lag behind.
 func TestAFoundVersionIsRequiredOnceMostEndpointsHoldIt(t *testing.T) {
 	t.Parallel()
 	t.Run("most", func(t *testing.T) {
 		t.Parallel()
 		g := NewWithT(t)
-		cfg := startGatewayBefore(t, newStore(2, 2, 1), 1)
+		cfg := startGatewayWithStore(t, newStore(2, 2, 1), 1)
 		g.Eventually(func() int64 { return newestVersion(g, cfg).Required }, 4*time.Second).Should(Equal(int64(2)), "well before the limit of 8 s")
 	})
 	t.Run("few", func(t *testing.T) {
 		t.Parallel()
 		g := NewWithT(t)
-		cfg := startGatewayBefore(t, newStore(2, 1, 1), 2)
-		g.Eventually(func() int64 { return newestVersion(g, cfg).Version }, patience).Should(Equal(int64(2)))
+		cfg := startGatewayWithStore(t, newStore(2, 1, 1), 2)
+		g.Eventually(func() int64 { return newestVersion(g, cfg).Version }, eventuallyTimeout).Should(Equal(int64(2)))
 		g.Consistently(func() int64 { return newestVersion(g, cfg).Required }, time.Second).Should(BeZero())
 	})
 }
 
-// A gateway that starts, or that was cut off, hears late that a version was named. Its
-// limit counts from when others heard.
+// A gateway that starts, or was partitioned, learns late that a version was named. Its limit
+// must count from when other gateways learned of it.
 func TestAGatewayAsksOthersWhenAVersionWasNamed(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	store := newStore(2, 1, 1)
-	first := startGatewayBefore(t, store, 3)
-	// Ready does not wait for the versions: one that is named before they were read first is
-	// found there, and then nobody knows when it was named.
-	g.Eventually(func() int64 { return newestVersion(g, first).Version }, patience).Should(Equal(int64(2)))
+	first := startGatewayWithStore(t, store, 3)
+	// Readiness does not wait for the versions: one that is named before the first read counts
+	// as found, with an unknown naming time.
+	g.Eventually(func() int64 { return newestVersion(g, first).Version }, eventuallyTimeout).Should(Equal(int64(2)))
 	store.Put(platform.KindVersions, "m", json.RawMessage(`{"model":"m","version":3}`))
-	g.Eventually(func() versionState { return newestVersion(g, first) }, patience).Should(HaveField("Version", int64(3)))
-	g.Eventually(func() int64 { return newestVersion(g, first).AgeMS }, patience).Should(BeNumerically(">", 1000))
-	second := startGatewayBefore(t, store, 4)
-	g.Eventually(func() versionState { return newestVersion(g, second) }, patience).Should(
+	g.Eventually(func() versionState { return newestVersion(g, first) }, eventuallyTimeout).Should(HaveField("Version", int64(3)))
+	g.Eventually(func() int64 { return newestVersion(g, first).AgeMS }, eventuallyTimeout).Should(BeNumerically(">", 1000))
+	second := startGatewayWithStore(t, store, 4)
+	g.Eventually(func() versionState { return newestVersion(g, second) }, eventuallyTimeout).Should(
 		And(HaveField("Version", int64(3)), HaveField("Found", false), HaveField("AgeMS", BeNumerically(">", 1000))))
 }
--- a/gateway/poison/record.go
+++ b/gateway/poison/record.go
@@ -41,7 +41,7 @@
 type Incarnation uint64
 
 // IncarnationOf returns the hash of an endpoint's incarnation.
-func IncarnationOf(l roster.Life) Incarnation {
+func IncarnationOf(l roster.Incarnation) Incarnation {
 	return Incarnation(xxhash.Sum64String(l.ID + "\x00" + strconv.FormatInt(l.Born, 10)))
 }
 
--- a/gateway/poison/record_test.go
+++ b/gateway/poison/record_test.go
@@ -11,8 +11,8 @@
 )
 
 // incarnation returns the n-th incarnation of an endpoint.
-func incarnation(n int) roster.Life {
-	return roster.Life{ID: "e", Born: int64(n + 1)}
+func incarnation(n int) roster.Incarnation {
+	return roster.Incarnation{ID: "e", Born: int64(n + 1)}
 }
 
 func record(generation uint32, relapses uint8, crashes ...poison.Incarnation) poison.Record {
--- a/gateway/poison/table.go
+++ b/gateway/poison/table.go
@@ -119,7 +119,7 @@
 
 // RecordCrash records that an endpoint crashed while processing a request, and returns the
 // resulting state of the request.
-func (t *Table) RecordCrash(r *Request, l roster.Life, now time.Time) State {
+func (t *Table) RecordCrash(r *Request, l roster.Incarnation, now time.Time) State {
 	k := r.Key()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/gateway/policy/load.go
+++ b/gateway/policy/load.go
@@ -28,7 +28,7 @@
 		return defaultMaxLoad
 	}
 	within := time.Duration(targetFraction * float64(target))
-	queue := math.Floor(engine.QueueWithin(within, promptTokens))
+	queue := math.Floor(engine.MaxQueue(within, promptTokens))
 	return min(1+queue/float64(engine.Slots), defaultMaxLoad)
 }
 
--- a/gateway/proxy/ended.go
+++ b/gateway/proxy/ended.go
@@ -21,7 +21,7 @@
 	refuses func(addr string) bool
 
 	mu     sync.Mutex
-	checks map[roster.Life]*endCheck
+	checks map[roster.Incarnation]*endCheck
 }
 
 // endCheck is the check of one endpoint.
@@ -33,16 +33,16 @@
 }
 
 func newEndDetector(refuses func(addr string) bool) *endDetector {
-	return &endDetector{refuses: refuses, checks: map[roster.Life]*endCheck{}}
+	return &endDetector{refuses: refuses, checks: map[roster.Incarnation]*endCheck{}}
 }
 
 // hasEnded reports whether an endpoint has ended after a connection to it broke. Concurrent
 // callers share one check.
 func (d *endDetector) hasEnded(e *roster.Endpoint, now time.Time) bool {
-	check, first := d.lookup(e.Life(), now)
+	check, first := d.lookup(e.Incarnation(), now)
 	if first {
 		check.ended = d.refuses(e.Addr)
-		d.discardUnlessEnded(e.Life(), check)
+		d.discardUnlessEnded(e.Incarnation(), check)
 		close(check.done)
 	}
 	<-check.done
@@ -51,7 +51,7 @@
 
 // discardUnlessEnded removes the check from the cache if the endpoint is alive, because it may
 // end at any moment.
-func (d *endDetector) discardUnlessEnded(l roster.Life, e *endCheck) {
+func (d *endDetector) discardUnlessEnded(l roster.Incarnation, e *endCheck) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !e.ended && d.checks[l] == e {
@@ -61,7 +61,7 @@
 
 // lookup returns the check of an endpoint's life, and whether the caller created it and has to
 // perform it.
-func (d *endDetector) lookup(l roster.Life, now time.Time) (*endCheck, bool) {
+func (d *endDetector) lookup(l roster.Incarnation, now time.Time) (*endCheck, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for other, e := range d.checks {
@@ -87,5 +87,5 @@
 	}
 	a.outcome = balance.Unreachable
 	p.logEndpointEnded(c, a.lease)
-	p.cfg.Poison.RecordCrash(c.copies, a.lease.Record.Life(), time.Now())
+	p.cfg.Poison.RecordCrash(c.copies, a.lease.Record.Incarnation(), time.Now())
 }
--- a/gateway/proxy/fleet_test.go
+++ b/gateway/proxy/fleet_test.go
@@ -113,11 +113,11 @@
 	w := &harness{g: f.g, endpoints: f.endpoints, down: map[string]bool{}, metrics: proxy.NewMetrics(metrics.NewRegistry())}
 	w.balancer = balance.New(balance.Config{
 		Zone:         "a",
-		OtherLoad:    func(l roster.Life) int { return f.othersAt(w, l) },
+		OtherLoad:    func(l roster.Incarnation) int { return f.othersAt(w, l) },
 		Random:       w.random(uint64(len(f.alive()))),
-		OnStaleLimit: func(l roster.Life) { go f.askToken(w, l) },
+		OnStaleLimit: func(l roster.Incarnation) { go f.askToken(w, l) },
 	})
-	w.askToken = func(_ context.Context, l roster.Life) bool { return f.askToken(w, l) }
+	w.askToken = func(_ context.Context, l roster.Incarnation) bool { return f.askToken(w, l) }
 	w.balancer.Update(f.list())
 	w.client = upstream.NewClient(upstream.WithDialer(w))
 	w.budget = proxy.NewBudget(0.2, 100, 10*time.Second, func() int { return 1 })
@@ -151,7 +151,7 @@
 }
 
 // othersAt returns the number of requests that all gateways except w have at an endpoint.
-func (f *fleet) othersAt(w *harness, l roster.Life) int {
+func (f *fleet) othersAt(w *harness, l roster.Incarnation) int {
 	n := 0
 	for _, other := range f.alive() {
 		if other != w {
@@ -163,7 +163,7 @@
 
 // loadAtHeartbeat returns the number of requests that the gateway had at an endpoint at its last
 // heartbeat.
-func (w *harness) loadAtHeartbeat(l roster.Life) int {
+func (w *harness) loadAtHeartbeat(l roster.Incarnation) int {
 	w.reportedMu.Lock()
 	defer w.reportedMu.Unlock()
 	return w.reportedLoad[l]
@@ -235,7 +235,7 @@
 
 // askToken asks the holder of an endpoint, a few milliseconds away, for permission to send a
 // request there.
-func (f *fleet) askToken(w *harness, l roster.Life) bool {
+func (f *fleet) askToken(w *harness, l roster.Incarnation) bool {
 	holder := f.holder(l.ID)
 	if holder == nil || holder == w {
 		return false
--- a/gateway/proxy/harness_test.go
+++ b/gateway/proxy/harness_test.go
@@ -89,12 +89,12 @@
 	logs logBuffer
 	// reportedLoad is the number of requests in progress at the gateway's last heartbeat.
 	reportedMu   sync.Mutex
-	reportedLoad map[roster.Life]int
+	reportedLoad map[roster.Incarnation]int
 	// self is the gateway's entry in a fleet.
 	self member.Entry
 	// askToken asks another gateway for permission to send a request to an endpoint that it
 	// holds.
-	askToken func(context.Context, roster.Life) bool
+	askToken func(context.Context, roster.Incarnation) bool
 }
 
 // logBuffer collects log lines from several goroutines.
@@ -138,7 +138,7 @@
 			list.Endpoints[id] = &roster.Endpoint{ID: id, Service: "s", Addr: id, Zone: "a", Slots: 2,
 				Weights: []roster.Weights{{Model: "m", Version: 1}}}
 		}
-		w.balancer = balance.New(balance.Config{Zone: "a", OtherLoad: func(roster.Life) int { return 0 }, Random: func() float64 { return 0 }})
+		w.balancer = balance.New(balance.Config{Zone: "a", OtherLoad: func(roster.Incarnation) int { return 0 }, Random: func() float64 { return 0 }})
 		w.balancer.Update(list)
 		w.balancer.SetPreferred(map[string]bool{"e0": true})
 		held := map[string]bool{}
--- a/gateway/proxy/proxy.go
+++ b/gateway/proxy/proxy.go
@@ -55,7 +55,7 @@
 	AcquireTrial func(ctx context.Context, k poison.Key, d time.Duration) (release func(), granted bool)
 	// AskToken asks the gateway that holds an endpoint for permission to send one request to it,
 	// and reports whether the request may be sent now. If nil, permission is never granted.
-	AskToken func(ctx context.Context, l roster.Life) bool
+	AskToken func(ctx context.Context, l roster.Incarnation) bool
 	// Random returns a random number in [0, 1).
 	Random func() float64
 }
@@ -89,7 +89,7 @@
 		cfg.ReadAdvisory = func(int, http.Header) advisory.Advisory { return advisory.Advisory{Limit: advisory.Unknown{}} }
 	}
 	if cfg.AskToken == nil {
-		cfg.AskToken = func(context.Context, roster.Life) bool { return false }
+		cfg.AskToken = func(context.Context, roster.Incarnation) bool { return false }
 	}
 	p := &Proxy{cfg: cfg, inFlight: drain.NewTracker(), callerTimeouts: newTimeoutTracker(), refusals: newRefusals(), endpointEnds: newEndDetector(cfg.Client.Refuses)}
 	p.stopCtx, p.CancelRequests = context.WithCancel(context.Background())
--- a/gateway/proxy/proxy_test.go
+++ b/gateway/proxy/proxy_test.go
@@ -476,7 +476,7 @@
 		config := configuration()
 		config.Revision, config.Version = 2, 2
 		// A request finishes every 600 ms, so none may queue behind the two that are running.
-		config.Services["s"].Engine = &routes.Engine{Slots: 2, Step: 60 * time.Millisecond, Stride: 1, UsualAnswer: 20}
+		config.Services["s"].Engine = &routes.Engine{Slots: 2, StepTime: 60 * time.Millisecond, Stride: 1, MeanAnswerTokens: 20}
 		w.proxy.SetConfig(config)
 		for range 2 {
 			go w.send("POST", "/stream/", "x")
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -13,28 +13,29 @@
 	"github.com/silverdeck/silverdeck/wait"
 )
 
-// Sharing what is known of requests under which endpoints ended.
+// Timing of trial leases and of the stored quarantine.
 const (
-	// trialLimit bounds the question for a lease on a request: some ways there and back
-	// between regions. Who does not answer in that time keeps no lease.
-	trialLimit = 150 * time.Millisecond
-	// quarantinePause is the time between two tries to write to the store or to read it.
-	quarantinePause = time.Second
-	// quarantineLimit is how long a gateway that starts waits until it knows which requests
-	// are quarantined, before it puts a configuration in force: then it has heard of them
-	// from others, who tell all once a second.
-	quarantineLimit = 1300 * time.Millisecond
-	// quarantineTries is how often a change is tried to be written. Heartbeats tell it in any
-	// case; the store keeps it only for a start of all gateways at once.
-	quarantineTries = 30
+	// trialTimeout bounds a lease request, which allows for several round trips between
+	// regions. If the owner does not answer in that time, this gateway grants the lease itself.
+	trialTimeout = 150 * time.Millisecond
+	// quarantineRetryInterval is the time between attempts to read or write the store.
+	quarantineRetryInterval = time.Second
+	// quarantineLoadTimeout is how long a starting gateway waits for the list of quarantined
+	// requests before it puts a configuration into force. By then other gateways have sent
+	// it: they send all records once a second.
+	quarantineLoadTimeout = 1300 * time.Millisecond
+	// maxQuarantineAttempts bounds the attempts to write a change to the store. Heartbeats
+	// propagate the change in any case; the stored copy is only needed when all gateways
+	// start at the same time.
+	maxQuarantineAttempts = 30
 )
 
-// notePoison takes in that what is known of a request changed. It is called under the table's
-// lock.
-func (g *Gateway) notePoison(c poison.Change) {
+// onPoisonChange handles a change of a request's record. It is called with the table's lock
+// held.
+func (g *Gateway) onPoisonChange(c poison.Change) {
 	state := c.Record.State()
-	if c.Cause != poison.CauseGossip && g.beater != nil {
-		g.beater.SendSoon()
+	if c.Cause != poison.CauseGossip && g.heartbeater != nil {
+		g.heartbeater.SendSoon()
 	}
 	if state == c.Before {
 		return
@@ -52,14 +53,14 @@
 	}
 }
 
-// storesChange returns whether this gateway writes a change to the store: all come to know of
-// it at about the same moment, and the owner of the request's key writes it.
+// storesChange reports whether this gateway writes a change to the store. All gateways learn
+// of it at about the same time; only the owner of the request's key writes it.
 func (g *Gateway) storesChange(c *poison.Change) bool {
 	quarantine := c.Before == poison.Quarantined || c.Record.State() == poison.Quarantined
 	return quarantine && g.ownerOf(c.Record.Key).Name == g.self.Name
 }
 
-// ownerOf returns the gateway that keeps the leases on a request.
+// ownerOf returns the gateway that grants the trial leases on a request.
 func (g *Gateway) ownerOf(k poison.Key) member.Entry {
 	gateways := g.gateways()
 	names := make([]string, 0, len(gateways))
@@ -69,24 +70,25 @@
 	return gateways[slices.Index(names, poison.Owner(k, names))]
 }
 
-// beginTrial implements proxy.Config.AcquireTrial: it asks the owner of the request's key for the
-// lease. Where that can't be reached, as one that has just died, or knows no leases, as an
-// older program, this gateway keeps the lease for its own copies.
-func (g *Gateway) beginTrial(ctx context.Context, k poison.Key, d time.Duration) (func(), bool) {
-	holder := fmt.Sprintf("%s/%d/%d", g.self.Name, g.self.Life, g.holders.Add(1))
+// acquireTrial implements proxy.Config.AcquireTrial: it requests the lease from the owner of
+// the request's key. If the owner can't be reached, for example because it has just crashed,
+// or is an older version without leases, this gateway grants the lease itself, which covers
+// only its own copies of the request.
+func (g *Gateway) acquireTrial(ctx context.Context, k poison.Key, d time.Duration) (func(), bool) {
+	holder := fmt.Sprintf("%s/%d/%d", g.self.Name, g.self.Life, g.lastTrialID.Add(1))
 	owner := g.ownerOf(k)
 	if owner.Name != g.self.Name {
-		reply, err := g.askTrial(ctx, owner, poison.BeginRequest{Key: k, Holder: holder, For: d, Records: g.packed(k)})
+		reply, err := g.requestTrial(ctx, owner, poison.BeginRequest{Key: k, Holder: holder, For: d, Records: g.packRecord(k)})
 		if err == nil {
-			return func() { go g.endTrial(owner, k, holder) }, reply.Given
+			return func() { go g.releaseTrial(owner, k, holder) }, reply.Given
 		}
-		g.log.Debug("no lease from the owner of a request", "peer", owner.Peer, "err", err)
+		g.log.Debug("trial lease request failed; granting it locally", "peer", owner.Peer, "err", err)
 	}
 	return func() { g.trials.End(k, holder) }, g.trials.Begin(k, holder, d, time.Now())
 }
 
-func (g *Gateway) askTrial(ctx context.Context, owner member.Entry, q poison.BeginRequest) (*poison.BeginReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, trialLimit)
+func (g *Gateway) requestTrial(ctx context.Context, owner member.Entry, q poison.BeginRequest) (*poison.BeginReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
 	reply, err := poison.CallBegin(ctx, g.peers, owner.Peer, q)
 	if err != nil {
@@ -96,37 +98,38 @@
 	return reply, nil
 }
 
-// endTrial gives a lease back. Where that fails it runs out.
-func (g *Gateway) endTrial(owner member.Entry, k poison.Key, holder string) {
-	ctx, cancel := context.WithTimeout(context.Background(), trialLimit)
+// releaseTrial releases a lease. If that fails, the lease expires.
+func (g *Gateway) releaseTrial(owner member.Entry, k poison.Key, holder string) {
+	ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
 	defer cancel()
-	if err := poison.CallEnd(ctx, g.peers, owner.Peer, poison.EndRequest{Key: k, Holder: holder, Records: g.packed(k)}); err != nil {
-		g.log.Debug("lease not given back", "peer", owner.Peer, "err", err)
+	if err := poison.CallEnd(ctx, g.peers, owner.Peer, poison.EndRequest{Key: k, Holder: holder, Records: g.packRecord(k)}); err != nil {
+		g.log.Debug("trial lease not released; it will expire", "peer", owner.Peer, "err", err)
 	}
 }
 
-// packed returns what is known of a request as it is sent.
-func (g *Gateway) packed(k poison.Key) []byte {
+// packRecord returns the encoded record of a request.
+func (g *Gateway) packRecord(k poison.Key) []byte {
 	return poison.Pack([]poison.Record{g.poison.Record(k)})
 }
 
-// usePoison takes in what another gateway tells. A relay tells it on at once.
-func (g *Gateway) usePoison(data []byte) {
+// mergePoison merges records from another gateway. A relay forwards new ones immediately.
+func (g *Gateway) mergePoison(data []byte) {
 	if g.poison.Merge(poison.Unpack(data), time.Now()) && g.table.IsRelay() {
-		g.beater.SendSoon()
+		g.heartbeater.SendSoon()
 	}
 }
 
-// storeQuarantine makes the store hold what is known of a request: its quarantine, or nothing.
+// storeQuarantine writes the request's quarantine to the store, or deletes it there if the
+// request is not quarantined.
 func (g *Gateway) storeQuarantine(k poison.Key) {
 	ctx := context.Background()
-	for range quarantineTries {
-		err := g.storeRecord(ctx, g.poison.Record(k)) // as it is by now
+	for range maxQuarantineAttempts {
+		err := g.storeRecord(ctx, g.poison.Record(k)) // read again: it may have changed
 		if err == nil || platform.IsNotFound(err) {
 			return
 		}
-		g.log.Debug("quarantine not stored", "key", k.String(), "err", err)
-		wait.For(ctx, quarantinePause)
+		g.log.Debug("storing quarantine failed", "key", k.String(), "err", err)
+		wait.For(ctx, quarantineRetryInterval)
 	}
 }
 
@@ -138,21 +141,20 @@
 	return g.store.Put(ctx, platform.KindQuarantine, r.Key.String(), platform.NewQuarantine(r, until))
 }
 
-// awaitQuarantine waits until this gateway knows which requests are quarantined, or has waited
-// for long enough.
+// awaitQuarantine blocks until the quarantined requests are loaded or quarantineLoadTimeout
+// has passed.
 func (g *Gateway) awaitQuarantine() {
-	<-g.quarantineKnown.Done()
+	<-g.quarantineLoaded.Done()
 }
 
-// takeQuarantine takes in the store's quarantined requests, and removes those of which the time
-// has run out.
-func (g *Gateway) takeQuarantine(objects []mirror.Object) {
+// applyQuarantine merges the quarantined requests from the store and deletes expired ones.
+func (g *Gateway) applyQuarantine(objects []mirror.Object) {
 	now := time.Now()
 	for _, o := range objects {
 		r, until, err := platform.DecodeQuarantine(o.Data)
 		switch {
 		case err != nil:
-			g.badQuarantines.Note(o.Name, err)
+			g.unreadableQuarantines.Note(o.Name, err)
 		case !now.Before(until):
 			go g.storeQuarantine(r.Key)
 		default:
@@ -162,19 +164,19 @@
 	}
 }
 
-// readQuarantine takes in, once, what gateways have quarantined before: all of them may have
-// ended at once.
-func (g *Gateway) readQuarantine(ctx context.Context) {
-	defer time.AfterFunc(quarantineLimit, g.knowQuarantine).Stop()
-	defer g.knowQuarantine()
+// loadQuarantine reads the stored quarantine once at startup, since all gateways may have
+// been restarted at the same time.
+func (g *Gateway) loadQuarantine(ctx context.Context) {
+	defer time.AfterFunc(quarantineLoadTimeout, g.markQuarantineLoaded).Stop()
+	defer g.markQuarantineLoaded()
 	source := g.store.Source(platform.KindQuarantine)
 	for ctx.Err() == nil {
 		objects, _, err := source.List(ctx)
 		if err == nil {
-			g.takeQuarantine(objects)
+			g.applyQuarantine(objects)
 			return
 		}
-		g.log.Debug("quarantine not read", "err", err)
-		wait.For(ctx, quarantinePause)
+		g.log.Debug("reading quarantine failed", "err", err)
+		wait.For(ctx, quarantineRetryInterval)
 	}
 }
--- a/gateway/replica/syncer.go
+++ b/gateway/replica/syncer.go
@@ -185,11 +185,11 @@
 	if err != nil {
 		s.log.Info("no copy from another entry", "kind", kind, "peer", addr, "err", err)
 		if AsksStore(s.behind(kind)) {
-			m.Behind(m.State().Revision + 1)
+			m.NoteNewerRevision(m.State().Revision + 1)
 		}
 		return
 	}
-	if m.Take(state) {
+	if m.ReplaceIfNewer(state) {
 		s.log.Info("copy taken from another entry", "kind", kind, "peer", addr, "revision", state.Revision)
 	}
 }
--- a/gateway/replica/syncer_test.go
+++ b/gateway/replica/syncer_test.go
@@ -52,7 +52,7 @@
 	}
 	d := &mirror.Delta{Version: mirror.Version{Revision: revision}, Names: names, Objects: objects}
 	s, _ := (&mirror.State{}).Apply(d)
-	g.mirrors[kind].Take(s)
+	g.mirrors[kind].ReplaceIfNewer(s)
 }
 
 // hear makes g hear a heartbeat.
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -21,44 +21,44 @@
 	"github.com/silverdeck/silverdeck/telemetry"
 )
 
-// Limits of connections to this gateway where the configuration gives none: before the
-// first, and to the addresses that are not for callers' requests.
+// Default connection limits. They apply to callers while the configuration sets none, and to
+// the other addresses.
 const (
-	// headerLimit is how long the head of a request may take.
-	headerLimit = 10 * time.Second
-	// idleLimit is how long a connection may rest.
-	idleLimit = 60 * time.Second
-	// headerBytes is the largest head of a request, in bytes.
-	headerBytes = 64 << 10
-	// limitSlack is how long after the configuration's limit a connection is closed: a VM
-	// that froze, or a congested link, delays what the caller sent within it. Longer than
-	// VMs were seen frozen (4 s).
-	limitSlack = 5 * time.Second
+	// headerTimeout bounds the time to read a request header.
+	headerTimeout = 10 * time.Second
+	// idleTimeout bounds the time for which a connection may be idle.
+	idleTimeout = 60 * time.Second
+	// maxHeaderBytes is the largest request header.
+	maxHeaderBytes = 64 << 10
+	// timeoutSlack is added to the configuration's timeouts, since a frozen VM or a congested
+	// link may delay data that the caller sent in time. It is longer than the 4 s for which VMs
+	// have been observed to freeze.
+	timeoutSlack = 5 * time.Second
 )
 
-// ConnectionLimits returns the limits of callers' connections under a configuration's
-// limits for callers, each of which may be 0 for none.
+// ConnectionLimits returns the limits of callers' connections for the configuration's limits
+// for callers. A limit of 0 selects the default.
 func ConnectionLimits(l routes.Limits) serve.Limits {
-	out := serve.Limits{HeaderBytes: headerBytes, HeaderTimeout: headerLimit, IdleTimeout: idleLimit}
+	out := serve.Limits{HeaderBytes: maxHeaderBytes, HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	if l.HeaderBytes > 0 {
 		out.HeaderBytes = l.HeaderBytes
 	}
 	if l.HeaderTimeout > 0 {
-		out.HeaderTimeout = l.HeaderTimeout + limitSlack
+		out.HeaderTimeout = l.HeaderTimeout + timeoutSlack
 	}
 	if l.IdleTimeout > 0 {
-		out.IdleTimeout = l.IdleTimeout + limitSlack
+		out.IdleTimeout = l.IdleTimeout + timeoutSlack
 	}
 	return out
 }
 
 const (
-	// addressTTL is for how long callers keep an answer of the directory, unless the
-	// platform's settings say less: a gateway that is gone is used for that long.
+	// addressTTL is how long callers may cache a directory answer, unless the platform's
+	// settings have a shorter time: a gateway that is gone is still used for that long.
 	addressTTL = 2 * time.Second
-	// turns is how many ways there are to spread callers over the gateways that stand
-	// in for others: more than there are gateways.
-	turns = 1 << 10
+	// addressSeeds is the number of seeds by which callers are spread over substitute
+	// gateways. It exceeds the number of gateways.
+	addressSeeds = 1 << 10
 )
 
 // listen opens all addresses of this gateway.
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	g.callers = callers
+	g.callerServer = callers
 	gin.SetMode(gin.ReleaseMode)
 	if err := g.serveOther(g.cfg.Ready, g.readyHandler()); err != nil {
 		return err
@@ -81,7 +81,7 @@
 	return g.serveOther(g.cfg.Observe, g.observeHandler())
 }
 
-// servePeers takes calls of other processes of ours.
+// servePeers serves RPCs from gateways and sidecars.
 func (g *Gateway) servePeers() error {
 	mux, err := peerconn.NewMux(map[string]any{
 		replica.ServiceName: replica.NewService(g.mirrors),
@@ -89,29 +89,29 @@
 
 		member.RollServiceName: member.NewRollService(g.table),
 		poison.ServiceName:     poison.NewService(g.poison, g.trials),
-		leases.ServiceName:     leases.NewService(g.loads, g.leasable),
+		leases.ServiceName:     leases.NewService(g.loads, g.leaseCandidates),
 		tokens.ServiceName:     tokens.NewService(g.balancer),
 	})
 	if err != nil {
 		return err
 	}
-	s := &http.Server{Handler: mux, ReadHeaderTimeout: headerLimit}
-	g.others = append(g.others, s)
+	s := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
+	g.otherServers = append(g.otherServers, s)
 	return serve.HTTP(s, g.cfg.Peer, g.log)
 }
 
-// serveOther serves h at addr; an empty addr means that this VM has none.
+// serveOther serves h at addr; an empty addr means that this VM does not have the address.
 func (g *Gateway) serveOther(addr string, h http.Handler) error {
 	if addr == "" {
 		return nil
 	}
-	s := &http.Server{Handler: h, ReadHeaderTimeout: headerLimit, IdleTimeout: idleLimit}
-	g.others = append(g.others, s)
+	s := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	g.otherServers = append(g.otherServers, s)
 	return serve.HTTP(s, addr, g.log)
 }
 
-// observeHandler shows the person on call what goes on, and lets a quarantined request be
-// sent again: DELETE /quarantine/KEY.
+// observeHandler serves metrics and debugging data to operators, and DELETE /quarantine/KEY,
+// which lifts a quarantine.
 func (g *Gateway) observeHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", telemetry.NewObserveHandler(g.registry, g))
@@ -125,7 +125,7 @@
 	return mux
 }
 
-// readyHandler answers the platform's question whether this gateway takes requests.
+// readyHandler serves the platform's readiness check.
 func (g *Gateway) readyHandler() http.Handler {
 	router := gin.New()
 	router.GET(platform.ReadyPath, func(c *gin.Context) {
@@ -138,7 +138,7 @@
 	return router
 }
 
-// directoryHandler answers callers that ask which addresses to use.
+// directoryHandler serves the addresses that callers should use.
 func (g *Gateway) directoryHandler() http.Handler {
 	router := gin.New()
 	router.GET(platform.ResolvePath, func(c *gin.Context) {
@@ -147,7 +147,7 @@
 		if g.Ready() == nil {
 			live = append(live, g.self)
 		}
-		addresses := directory.Addresses(live, q.Zone, q.Region, rand.IntN(turns))
+		addresses := directory.Addresses(live, q.Zone, q.Region, rand.IntN(addressSeeds))
 		if len(addresses) == 0 {
 			c.String(http.StatusServiceUnavailable, "no entry is ready")
 			return
@@ -157,7 +157,7 @@
 	return router
 }
 
-// addressTTL returns for how long callers keep an answer of the directory.
+// addressTTL returns how long callers may cache a directory answer.
 func (g *Gateway) addressTTL() time.Duration {
 	if g.cfg.AddressTTL > 0 {
 		return min(addressTTL, g.cfg.AddressTTL)
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -17,9 +17,9 @@
 	"github.com/silverdeck/silverdeck/roster"
 )
 
-// Why a gateway is not ready.
+// Reasons why a gateway is not ready.
 var (
-	errLeaving     = errors.New("gateway: leaving")
+	errStopping    = errors.New("gateway: leaving")
 	errNoConfig    = errors.New("gateway: no configuration yet")
 	errNoEndpoints = errors.New("gateway: no endpoints yet")
 )
@@ -27,8 +27,8 @@
 // Ready implements telemetry.Observed.
 func (g *Gateway) Ready() error {
 	switch {
-	case g.leaving.Load():
-		return errLeaving
+	case g.stopping.Load():
+		return errStopping
 	case g.proxy.Routes() == nil:
 		return errNoConfig
 	case g.endpoints.Current() == nil:
@@ -37,25 +37,25 @@
 	return nil
 }
 
-// shownState is what the person on call sees of a gateway.
-type shownState struct {
+// debugState is the gateway's state as shown to operators.
+type debugState struct {
 	Self      member.Entry     `json:"self"`
 	Live      []member.Entry   `json:"live"`
 	Revisions map[string]int64 `json:"revisions"`
 	InFlight  map[string]int   `json:"inFlight"`
-	Versions  []shownVersion   `json:"versions"`
-	// Poison are the requests under which endpoints ended.
+	Versions  []debugVersion   `json:"versions"`
+	// Poison lists the requests under which endpoints crashed.
 	Poison []poison.RequestStatus `json:"poison"`
 }
 
-// shownVersion is the newest version of a model as the person on call sees it.
-type shownVersion struct {
+// debugVersion is the newest version of a model as shown to operators.
+type debugVersion struct {
 	Model   string `json:"model"`
 	Version int64  `json:"version"`
-	// AgeMS is how long ago it was named, or found if Found is set.
+	// AgeMS is the time since the version was named, or since it was found if Found is set.
 	AgeMS int64 `json:"ageMs"`
 	Found bool  `json:"found"`
-	// Required is the version below which no request is sent.
+	// Required is the oldest version to which requests may be sent.
 	Required int64 `json:"required"`
 }
 
@@ -65,12 +65,12 @@
 	for kind, m := range g.mirrors {
 		revisions[kind] = m.State().Revision
 	}
-	return shownState{Self: g.self, Live: g.table.Live(), Revisions: revisions, InFlight: byID(g.balancer.InFlight()), Versions: g.shownVersions(),
+	return debugState{Self: g.self, Live: g.table.Live(), Revisions: revisions, InFlight: byID(g.balancer.InFlight()), Versions: g.debugVersions(),
 		Poison: g.poison.List(time.Now())}
 }
 
-// byID returns counts of endpoints by their IDs.
-func byID(counts map[roster.Life]int) map[string]int {
+// byID returns counts by endpoint ID.
+func byID(counts map[roster.Incarnation]int) map[string]int {
 	out := make(map[string]int, len(counts))
 	for l, n := range counts {
 		out[l.ID] = n
@@ -78,16 +78,16 @@
 	return out
 }
 
-func (g *Gateway) shownVersions() []shownVersion {
-	var out []shownVersion
+func (g *Gateway) debugVersions() []debugVersion {
+	var out []debugVersion
 	for _, n := range g.versions.Newest() {
-		out = append(out, shownVersion{Model: n.Model, Version: n.Version, AgeMS: time.Since(n.At).Milliseconds(),
+		out = append(out, debugVersion{Model: n.Model, Version: n.Version, AgeMS: time.Since(n.At).Milliseconds(),
 			Found: n.Found, Required: g.minVersion(n.Model)})
 	}
 	return out
 }
 
-// heartbeat returns this gateway's next heartbeat, without its number.
+// heartbeat returns this gateway's next heartbeat, without its sequence number.
 func (g *Gateway) heartbeat() member.Heartbeat {
 	status := g.syncer.Status()
 	b := member.Heartbeat{
@@ -107,11 +107,11 @@
 	return b
 }
 
-// afterHeartbeat takes in what the last heartbeats of others told. silent are the
-// gateways from which none came any more.
+// afterHeartbeat runs after each heartbeat round. silent names the gateways whose heartbeats
+// have stopped.
 func (g *Gateway) afterHeartbeat(silent []string) {
 	g.noteSuspended(g.suspension.Suspended())
-	g.prefer()
+	g.updateAssignment()
 	for _, name := range silent {
 		g.log.Warn("entry lost", "entry", name)
 	}
@@ -119,13 +119,13 @@
 		g.log.Info("entry heard", "entry", name)
 	}
 	if g.table.Size() == 1 {
-		g.balancer.NoteTraffic(time.Now()) // there is nobody to hear from
+		g.balancer.NoteTraffic(time.Now()) // there are no other gateways
 	}
 	g.endpoints.NoteStore(g.syncer.StoreLost(), time.Now())
-	g.requireHeld(time.Now())
+	g.requireWidelyHeld(time.Now())
 }
 
-// noteSuspended takes in that the VM was suspended for d.
+// noteSuspended handles a suspension of the VM for d.
 func (g *Gateway) noteSuspended(d time.Duration) {
 	if d == 0 {
 		return
@@ -134,39 +134,39 @@
 	g.versions.Suspended(d)
 }
 
-// prefer deals out the endpoints anew where they or the gateways have changed: with 1,900
-// and 340 that is too much work for each heartbeat.
-func (g *Gateway) prefer() {
-	now := dealt{endpoints: g.endpoints.Current(), members: g.table.Changes(), ready: g.Ready() == nil}
-	if g.dealt == now {
+// updateAssignment recomputes the assignment of endpoints to gateways if either has changed.
+// With 1,900 endpoints and 340 gateways this is too expensive for each heartbeat.
+func (g *Gateway) updateAssignment() {
+	now := assignmentInputs{endpoints: g.endpoints.Current(), members: g.table.Changes(), ready: g.Ready() == nil}
+	if g.lastAssignment == now {
 		return
 	}
-	g.dealt = now
+	g.lastAssignment = now
 	g.balancer.SetPreferred(affinity.Preferred(now.endpoints, g.gateways(), g.self.Name))
 	g.balancer.SetHeld(affinity.Held(now.endpoints, g.readyGateways(), g.self.Name), time.Now())
 }
 
-// dealt is from what endpoints were last dealt out to gateways.
-type dealt struct {
+// assignmentInputs identifies the inputs of an assignment of endpoints to gateways.
+type assignmentInputs struct {
 	endpoints *roster.List
 	members   uint64
 	ready     bool
 }
 
-// afterOther takes in a heartbeat of another gateway.
-func (g *Gateway) afterOther(ctx context.Context) {
+// onHeartbeat handles the arrival of another gateway's heartbeat.
+func (g *Gateway) onHeartbeat(ctx context.Context) {
 	g.balancer.NoteTraffic(time.Now())
 	g.syncer.Follow(ctx, time.Now())
 }
 
-// gateways returns all live gateways with this one, in no order.
+// gateways returns all live gateways including this one, in no particular order.
 func (g *Gateway) gateways() []member.Entry {
 	return append(g.table.Live(), g.self)
 }
 
-// leasable returns what is known of the endpoints of a service that run a model, for leases
-// on their loads.
-func (g *Gateway) leasable(service, model string) []leases.Endpoint {
+// leaseCandidates returns the endpoints of a service that run a model, for granting load
+// leases.
+func (g *Gateway) leaseCandidates(service, model string) []leases.Endpoint {
 	places := g.balancer.Capacities(&balance.Query{Service: service, Model: model, MinVersion: g.minVersion(model)}, time.Now())
 	out := make([]leases.Endpoint, 0, len(places))
 	for _, p := range places {
@@ -175,8 +175,8 @@
 	return out
 }
 
-// describeService returns the inventory of a service, or nil while too little is
-// known.
+// describeService returns the inventory of a service, or nil while the required data is
+// missing.
 func (g *Gateway) describeService(service string) *inventory.Inventory {
 	config, list := g.proxy.Routes(), g.endpoints.Current()
 	if config == nil || list == nil || g.mirrors[platform.KindVersions].State().Revision == 0 {
--- a/gateway/store.go
+++ b/gateway/store.go
@@ -9,52 +9,52 @@
 	"github.com/silverdeck/silverdeck/platform"
 )
 
-// coalesceMembers is for how long changes of gateways are coalesced into one call;
-// heartbeats tell them sooner.
+// coalesceMembers is how long changes to the list of gateways are coalesced into one call;
+// heartbeats propagate them sooner.
 const coalesceMembers = 2 * time.Second
 
-// coalesceDivisor makes the time for which changes of endpoints are coalesced a quarter of
-// the time after which a leaving one must get no requests.
+// coalesceDivisor sets the coalescing time for endpoint changes to a quarter of the time
+// after which a leaving endpoint must receive no more requests.
 const coalesceDivisor = 4
 
-// newMirrors returns the copies of the platform's store, by kind.
+// newMirrors returns the mirrors of the platform's store, by kind.
 func (g *Gateway) newMirrors() map[string]*mirror.Mirror {
 	coalesceEndpoints := g.cfg.DrainLimit / coalesceDivisor
 	return map[string]*mirror.Mirror{
-		platform.KindConfig:    g.newMirror(platform.KindConfig, 0, g.useConfig),
+		platform.KindConfig:    g.newMirror(platform.KindConfig, 0, g.applyConfig),
 		platform.KindEndpoints: g.newMirror(platform.KindEndpoints, coalesceEndpoints, func(*mirror.State) { g.endpoints.Update() }),
-		platform.KindVersions:  g.newMirror(platform.KindVersions, 0, g.useVersions),
-		platform.KindMembers:   g.newMirror(platform.KindMembers, coalesceMembers, g.useMembers),
+		platform.KindVersions:  g.newMirror(platform.KindVersions, 0, g.applyVersions),
+		platform.KindMembers:   g.newMirror(platform.KindMembers, coalesceMembers, g.applyMembers),
 	}
 }
 
 func (g *Gateway) newMirror(kind string, coalesce time.Duration, use func(*mirror.State)) *mirror.Mirror {
 	return mirror.New(mirror.Config{
-		Kind:        kind,
-		Source:      g.store.Source(kind),
-		Random:      rand.Float64,
-		PollTimeout: func() time.Duration { return g.pollTimeout(kind) },
-		Coalesce:    coalesce,
-		Reach:       func(lost bool) { g.syncer.NoteStore(kind, lost) },
-		HistoryGone: func() { g.recheck(kind) },
-		Active:      func() bool { return g.syncer.KeptByStore(kind) },
-		Log:         g.log,
+		Kind:           kind,
+		Source:         g.store.Source(kind),
+		Random:         rand.Float64,
+		PollTimeout:    func() time.Duration { return g.pollTimeout(kind) },
+		Coalesce:       coalesce,
+		OnReachability: func(lost bool) { g.syncer.NoteStore(kind, lost) },
+		OnHistoryGone:  func() { g.recheckOthers(kind) },
+		Active:         func() bool { return g.syncer.KeptByStore(kind) },
+		Log:            g.log,
 	}, func(s *mirror.State) {
 		use(s)
 		g.announceCopies()
 	})
 }
 
-// announceCopies makes a gateway from which others take copies tell them of its own ahead
-// of its next heartbeat: one that watches the store, and a relay.
+// announceCopies sends a heartbeat early if other gateways copy from this one, that is, if it
+// watches the store or is a relay.
 func (g *Gateway) announceCopies() {
-	if g.beater != nil && (g.syncer.Status().Watching || g.table.IsRelay()) {
-		g.beater.SendSoon()
+	if g.heartbeater != nil && (g.syncer.Status().Watching || g.table.IsRelay()) {
+		g.heartbeater.SendSoon()
 	}
 }
 
-// recheck makes the watches of all kinds but one be asked anew.
-func (g *Gateway) recheck(but string) {
+// recheckOthers restarts the watches of all kinds except one.
+func (g *Gateway) recheckOthers(but string) {
 	for kind, m := range g.mirrors {
 		if kind != but {
 			m.Recheck()
@@ -62,7 +62,7 @@
 	}
 }
 
-// pollTimeout returns for how long a watch of kind may stay unanswered.
+// pollTimeout returns how long a watch of kind may remain unanswered.
 func (g *Gateway) pollTimeout(kind string) time.Duration {
 	watchers := g.table.Watchers(g.syncer.Status().Watching)
 	if kind == platform.KindConfig {
--- a/gateway/tokens/tokens.go
+++ b/gateway/tokens/tokens.go
@@ -21,7 +21,7 @@
 type Granter interface {
 	// Grant returns whether a request at the endpoint is given to a gateway, by name, and after what time it may
 	// be sent, or if not, after what time to ask again.
-	Grant(gateway string, l roster.Life, now time.Time) (granted bool, opensIn time.Duration)
+	Grant(gateway string, l roster.Incarnation, now time.Time) (granted bool, opensIn time.Duration)
 }
 
 // Service gives tokens by net/rpc under ServiceName. It is safe for concurrent use.
@@ -34,8 +34,8 @@
 	return &Service{granter: g}
 }
 
-// TakeRequest asks for a request at one life of an endpoint, as in roster.Life, for the gateway
-// named Gateway.
+// TakeRequest asks for a request at one incarnation of an endpoint, as in
+// roster.Incarnation, for the gateway named Gateway.
 type TakeRequest struct {
 	Gateway  string
 	Endpoint string
@@ -51,12 +51,12 @@
 
 // Take gives a token.
 func (s *Service) Take(q TakeRequest, reply *TakeReply) error {
-	reply.Granted, reply.OpensIn = s.granter.Grant(q.Gateway, roster.Life{ID: q.Endpoint, Born: q.Born}, time.Now())
+	reply.Granted, reply.OpensIn = s.granter.Grant(q.Gateway, roster.Incarnation{ID: q.Endpoint, Born: q.Born}, time.Now())
 	return nil
 }
 
 // Ask asks the gateway at addr for a token, as the gateway named self.
-func Ask(ctx context.Context, pool *peerconn.Pool, addr, self string, l roster.Life) (*TakeReply, error) {
+func Ask(ctx context.Context, pool *peerconn.Pool, addr, self string, l roster.Incarnation) (*TakeReply, error) {
 	reply := &TakeReply{}
 	if err := pool.Call(ctx, addr, methodTake, TakeRequest{Gateway: self, Endpoint: l.ID, Born: l.Born}, reply); err != nil {
 		return nil, err
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -6,10 +6,10 @@
 	"github.com/silverdeck/silverdeck/member"
 )
 
-// SentCounters count the bytes of datagrams to other gateways.
+// SentCounters counts the bytes of datagrams sent to other gateways.
 type SentCounters struct {
-	// Heartbeats has those of heartbeats, Digests those of a relay's digests with the
-	// heartbeats beside them.
+	// Heartbeats counts heartbeats; Digests counts a relay's digests together with the
+	// heartbeats that accompany them.
 	Heartbeats, Digests metrics.Counter
 }
 
@@ -21,7 +21,7 @@
 	}
 }
 
-// Count counts a datagram of so many bytes that went to so many gateways.
+// Count adds a datagram of the given size that was sent to the given number of gateways.
 func (c *SentCounters) Count(kind member.Kind, bytes, gateways int) {
 	n := int64(bytes * gateways)
 	switch kind {
--- a/gateway/upstream/conn.go
+++ b/gateway/upstream/conn.go
@@ -83,12 +83,12 @@
 	mu   sync.Mutex
 	idle []*conn
 	// owner is the endpoint that has the address; not known before the first Keep.
-	owner roster.Life
+	owner roster.Incarnation
 }
 
 // ownedBy notes who has the address and returns whether that is who had it. Connections
 // of an endpoint that crashed silently look sound until something is sent.
-func (p *idlePool) ownedBy(owner roster.Life) bool {
+func (p *idlePool) ownedBy(owner roster.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	same := p.owner.ID == "" || p.owner.Same(owner)
--- a/gateway/upstream/keep_test.go
+++ b/gateway/upstream/keep_test.go
@@ -22,13 +22,13 @@
 func TestConnectionsOfAnEarlierLifeAreNotUsed(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		first, next roster.Life
+		first, next roster.Incarnation
 		connections int32
 	}{
-		{"one life", roster.Life{ID: "e", Born: 5}, roster.Life{ID: "e", Born: 5}, 1},
-		{"started again", roster.Life{ID: "e", Born: 5}, roster.Life{ID: "e", Born: 6}, 2},
-		{"another endpoint has the address", roster.Life{ID: "e", Born: 5}, roster.Life{ID: "f", Born: 5}, 2},
-		{"older programs do not tell", roster.Life{ID: "e", Born: 5}, roster.Life{ID: "e"}, 1},
+		{"one life", roster.Incarnation{ID: "e", Born: 5}, roster.Incarnation{ID: "e", Born: 5}, 1},
+		{"started again", roster.Incarnation{ID: "e", Born: 5}, roster.Incarnation{ID: "e", Born: 6}, 2},
+		{"another endpoint has the address", roster.Incarnation{ID: "e", Born: 5}, roster.Incarnation{ID: "f", Born: 5}, 2},
+		{"older programs do not tell", roster.Incarnation{ID: "e", Born: 5}, roster.Incarnation{ID: "e"}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -50,10 +50,10 @@
 				g.Expect(err).NotTo(HaveOccurred())
 				x.Close()
 			}
-			client.Keep(map[string]roster.Life{addr: c.first}, time.Now())
+			client.Keep(map[string]roster.Incarnation{addr: c.first}, time.Now())
 			send()
-			client.Keep(map[string]roster.Life{addr: c.first}, time.Now())
-			client.Keep(map[string]roster.Life{addr: c.next}, time.Now())
+			client.Keep(map[string]roster.Incarnation{addr: c.first}, time.Now())
+			client.Keep(map[string]roster.Incarnation{addr: c.next}, time.Now())
 			send()
 			g.Expect(opened.Load()).To(Equal(c.connections))
 		})
--- a/gateway/upstream/upstream.go
+++ b/gateway/upstream/upstream.go
@@ -69,7 +69,7 @@
 // Keep closes the idle connections to addresses that no endpoint has any more, those to
 // one that has started again or that another has now, and those that have rested too long.
 // endpoints tells who has an address.
-func (c *Client) Keep(endpoints map[string]roster.Life, now time.Time) {
+func (c *Client) Keep(endpoints map[string]roster.Incarnation, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for addr, p := range c.pools {
--- a/member/advice.go
+++ b/member/advice.go
@@ -2,7 +2,7 @@
 
 // Advice is what a gateway reports of an endpoint's statements about itself in its responses.
 type Advice struct {
-	// ID and Born identify an incarnation of an endpoint, as in roster.Life.
+	// ID and Born identify an incarnation of an endpoint, as in roster.Incarnation.
 	ID   string `json:"id"`
 	Born int64  `json:"born,omitempty"`
 	// Limit is the stated rate limit in requests per second; omitted once the endpoint states
--- a/member/counts.go
+++ b/member/counts.go
@@ -7,7 +7,7 @@
 type counts map[string]map[int64]int
 
 // add adds n to the count of l and removes the count once it is no longer positive.
-func (c counts) add(l roster.Life, n int) {
+func (c counts) add(l roster.Incarnation, n int) {
 	lives := c[l.ID]
 	if lives == nil {
 		lives = map[int64]int{}
@@ -24,10 +24,10 @@
 
 // get returns the count of l, including counts that may refer to it because a start time is
 // unknown.
-func (c counts) get(l roster.Life) int {
+func (c counts) get(l roster.Incarnation) int {
 	n := 0
 	for born, counted := range c[l.ID] {
-		if l.Same(roster.Life{ID: l.ID, Born: born}) {
+		if l.Same(roster.Incarnation{ID: l.ID, Born: born}) {
 			n += counted
 		}
 	}
--- a/member/digest.go
+++ b/member/digest.go
@@ -53,7 +53,7 @@
 // in one of 2,400 fleets; the two endpoints are then charged with each other's requests.
 type endpointKey uint32
 
-func keyOf(l roster.Life) endpointKey {
+func keyOf(l roster.Incarnation) endpointKey {
 	return endpointKey(xxhash.Sum64String(l.ID + "\x00" + strconv.FormatInt(l.Born, 10)))
 }
 
@@ -61,10 +61,10 @@
 type keyCounts map[endpointKey]int
 
 // get returns the count of l, including counts from gateways that do not know its start time.
-func (c keyCounts) get(l roster.Life) int {
+func (c keyCounts) get(l roster.Incarnation) int {
 	n := c[keyOf(l)]
 	if l.Born != 0 {
-		n += c[keyOf(roster.Life{ID: l.ID})]
+		n += c[keyOf(roster.Incarnation{ID: l.ID})]
 	}
 	return n
 }
@@ -73,7 +73,7 @@
 func (c keyCounts) addCounts(others counts, sign int) {
 	for id, lives := range others {
 		for born, n := range lives {
-			c[keyOf(roster.Life{ID: id, Born: born})] += sign * n
+			c[keyOf(roster.Incarnation{ID: id, Born: born})] += sign * n
 		}
 	}
 }
--- a/member/fleet_test.go
+++ b/member/fleet_test.go
@@ -55,8 +55,8 @@
 	conn   *conn
 
 	mu       sync.Mutex
-	inFlight map[roster.Life]int
-	suspects []roster.Life
+	inFlight map[roster.Incarnation]int
+	suspects []roster.Incarnation
 	copies   int64
 	// poison records the requests during which endpoints terminated.
 	poison *poison.Table
@@ -209,7 +209,7 @@
 	}
 }
 
-func (n *node) setLoad(inFlight map[roster.Life]int, suspects ...roster.Life) {
+func (n *node) setLoad(inFlight map[roster.Incarnation]int, suspects ...roster.Incarnation) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.inFlight, n.suspects = inFlight, suspects
@@ -299,7 +299,7 @@
 	return out
 }
 
-var e1 = roster.Life{ID: "e1", Born: 5}
+var e1 = roster.Incarnation{ID: "e1", Born: 5}
 
 func TestAllOfAFleetKnowEachOtherSoonAfterAStartOfAll(t *testing.T) {
 	for _, size := range []int{6, 12, 13, 40, 60} {
@@ -372,7 +372,7 @@
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			runFleet(t, size, func(f *fleet, nodes []*node) {
 				for i, n := range nodes {
-					n.setLoad(map[roster.Life]int{e1: i%5 + 1, {ID: n.entry.Name}: 7})
+					n.setLoad(map[roster.Incarnation]int{e1: i%5 + 1, {ID: n.entry.Name}: 7})
 				}
 				all := 0
 				for i := range size {
@@ -381,9 +381,9 @@
 				time.Sleep(1500 * time.Millisecond)
 				for i, n := range nodes {
 					f.Expect(n.table.InFlight(e1)).To(Equal(all-i%5-1), n.entry.Name)
-					f.Expect(n.table.InFlight(roster.Life{ID: n.entry.Name})).To(BeZero(), "own requests are excluded")
-					f.Expect(n.table.InFlight(roster.Life{ID: nodes[(i+1)%size].entry.Name})).To(Equal(7))
-					f.Expect(n.table.InFlight(roster.Life{ID: "e1", Born: 6})).To(BeZero(), "another incarnation")
+					f.Expect(n.table.InFlight(roster.Incarnation{ID: n.entry.Name})).To(BeZero(), "own requests are excluded")
+					f.Expect(n.table.InFlight(roster.Incarnation{ID: nodes[(i+1)%size].entry.Name})).To(Equal(7))
+					f.Expect(n.table.InFlight(roster.Incarnation{ID: "e1", Born: 6})).To(BeZero(), "another incarnation")
 				}
 				for _, n := range nodes {
 					n.setLoad(nil)
@@ -404,7 +404,7 @@
 func TestARelayThatHearsNobodyMisleadsNobody(t *testing.T) {
 	runFleet(t, 40, func(f *fleet, nodes []*node) {
 		for _, n := range nodes {
-			n.setLoad(map[roster.Life]int{e1: 1})
+			n.setLoad(map[roster.Incarnation]int{e1: 1})
 		}
 		time.Sleep(1500 * time.Millisecond)
 		believedDead(nodes)
@@ -479,7 +479,7 @@
 		older := f.start(7, 2, 20, func(e *member.Entry) { e.Relays = false })
 		nodes[7] = older
 		for _, n := range nodes {
-			n.setLoad(map[roster.Life]int{e1: 1})
+			n.setLoad(map[roster.Incarnation]int{e1: 1})
 		}
 		time.Sleep(3 * time.Second)
 		for _, n := range nodes {
@@ -513,7 +513,7 @@
 	for _, size := range []int{20, 60} {
 		runFleet(t, size, func(f *fleet, nodes []*node) {
 			for _, n := range nodes {
-				n.setLoad(map[roster.Life]int{e1: 1, {ID: n.entry.Name}: 2})
+				n.setLoad(map[roster.Incarnation]int{e1: 1, {ID: n.entry.Name}: 2})
 			}
 			time.Sleep(3 * time.Second)
 			f.mu.Lock()
--- a/member/member.go
+++ b/member/member.go
@@ -60,7 +60,7 @@
 	// Suspects lists the endpoints that do not respond to this gateway.
 	Suspects []string `json:"suspects,omitempty"`
 	// Born holds the start times of the endpoints above, which identify their incarnations as
-	// in roster.Life; older versions omit it.
+	// in roster.Incarnation; older versions omit it.
 	Born map[string]int64 `json:"born,omitempty"`
 	// Brief is set if Copies and all fields of Entry but Name and Life are omitted because they
 	// are unchanged since the last heartbeat that had them.
@@ -98,7 +98,7 @@
 }
 
 // SetEndpoints sets the in-flight requests and the suspected endpoints.
-func (b *Heartbeat) SetEndpoints(inFlight map[roster.Life]int, suspects []roster.Life) {
+func (b *Heartbeat) SetEndpoints(inFlight map[roster.Incarnation]int, suspects []roster.Incarnation) {
 	b.InFlight, b.Suspects, b.Born = map[string]int{}, nil, map[string]int64{}
 	for l, n := range inFlight {
 		b.InFlight[l.ID] = n
@@ -110,15 +110,15 @@
 	}
 }
 
-func (b *Heartbeat) setBorn(l roster.Life) {
+func (b *Heartbeat) setBorn(l roster.Incarnation) {
 	if l.Born != 0 {
 		b.Born[l.ID] = l.Born
 	}
 }
 
 // life returns the incarnation of endpoint id that the heartbeat refers to.
-func (b *Heartbeat) life(id string) roster.Life {
-	return roster.Life{ID: id, Born: b.Born[id]}
+func (b *Heartbeat) life(id string) roster.Incarnation {
+	return roster.Incarnation{ID: id, Born: b.Born[id]}
 }
 
 // Notice announces to gateways that an endpoint is about to change its weights, or has changed
@@ -131,7 +131,7 @@
 	// Model and Version identify the weights that the endpoint runs now; empty if not stated.
 	Model   string `json:"model,omitempty"`
 	Version int64  `json:"version,omitempty"`
-	// Born is the endpoint's start time, which identifies its incarnation as in roster.Life.
+	// Born is the endpoint's start time, which identifies its incarnation as in roster.Incarnation.
 	Born int64 `json:"born,omitempty"`
 }
 
--- a/member/news_test.go
+++ b/member/news_test.go
@@ -19,7 +19,7 @@
 func reportFailures(nodes []*node) {
 	for i := range 3 {
 		at := nodes[i*(len(nodes)-1)/2]
-		at.poison.RecordCrash(fatalRequest, roster.Life{ID: fmt.Sprint("e", i)}, time.Now())
+		at.poison.RecordCrash(fatalRequest, roster.Incarnation{ID: fmt.Sprint("e", i)}, time.Now())
 	}
 }
 
@@ -78,7 +78,7 @@
 				f.blocked = func(from, to string) bool { return from == away.entry.Name || to == away.entry.Name }
 				f.mu.Unlock()
 				for i := range 3 {
-					nodes[i].poison.RecordCrash(fatalRequest, roster.Life{ID: fmt.Sprint("e", i)}, time.Now())
+					nodes[i].poison.RecordCrash(fatalRequest, roster.Incarnation{ID: fmt.Sprint("e", i)}, time.Now())
 				}
 				time.Sleep(5 * time.Second)
 				f.Expect(quarantinedBy(nodes)).To(Equal(size - 1))
--- a/member/sums.go
+++ b/member/sums.go
@@ -68,7 +68,7 @@
 }
 
 // Suspected returns whether another gateway suspects an endpoint.
-func (t *Table) Suspected(l roster.Life) bool {
+func (t *Table) Suspected(l roster.Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.currentView()
@@ -84,7 +84,7 @@
 }
 
 // InFlight returns the number of requests that other gateways have in flight at an endpoint.
-func (t *Table) InFlight(l roster.Life) int {
+func (t *Table) InFlight(l roster.Incarnation) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.currentView()
--- a/mirror/config.go
+++ b/mirror/config.go
@@ -6,26 +6,27 @@
 	"github.com/charmbracelet/log"
 )
 
-// Config holds a Mirror's settings.
+// Config configures a Mirror.
 type Config struct {
-	// Kind names the objects in logs.
+	// Kind is the kind of the objects, for log lines.
 	Kind   string
 	Source Source
 	Random func() float64
-	// PollTimeout returns for how long a watch may stay unanswered. A store that lost
-	// a watch without a word is found out after that time.
+	// PollTimeout returns how long a watch may remain unanswered. A watch that the store
+	// dropped without an error is detected after that time.
 	PollTimeout func() time.Duration
-	// Coalesce is for how long changes are coalesced before they are asked for once
-	// more, so that many changes cost few calls.
+	// Coalesce is how long to wait after a change before the next watch, so that many changes
+	// take few calls.
 	Coalesce time.Duration
-	// Reach hears when the store stops answering and when it answers again; nil
-	// means nobody does.
-	Reach func(lost bool)
-	// HistoryGone hears when the store no longer has the changes that a watch asked
-	// for; nil means nobody does. Watches of other kinds may be lost then as well.
-	HistoryGone func()
-	// Active returns whether this mirror asks the store by itself; one that does
-	// not is at rest and takes copies from elsewhere. Nil means always.
+	// OnReachability is called when the store becomes unreachable and when it becomes
+	// reachable again. It may be nil.
+	OnReachability func(lost bool)
+	// OnHistoryGone is called when the store no longer has the changes that a watch asked for.
+	// Watches of other kinds may have been dropped at the same time. It may be nil.
+	OnHistoryGone func()
+	// Active reports whether the mirror reads the store itself. An inactive mirror only
+	// receives copies through ReplaceIfNewer, or lists once after NoteNewerRevision. If Active
+	// is nil, the mirror is always active.
 	Active func() bool
 	Log    *log.Logger
 }
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,9 +1,8 @@
-// Package mirror keeps a local copy of one kind of objects of the platform's
-// store, by a list and then by watches, and tells its owner of each new state.
+// Package mirror maintains a local copy of one kind of objects in the platform's store, by a
+// list followed by watches, and notifies its owner of each new state.
 //
-// It owns the copy, which is replaced as a whole under a lock and read without one.
-// It relies on a Source. Names of its types, of their fields and of this package
-// are on the wire between gateways.
+// The state is immutable: it is replaced under a lock and read without one. The names of this
+// package, its types and their fields are part of the wire format between gateways.
 package mirror
 
 import (
@@ -17,48 +16,48 @@
 	"github.com/silverdeck/silverdeck/wait"
 )
 
-// Times of calls.
+// Timing of calls to the store.
 const (
-	// minBackoff and maxBackoff bound the pause after a call that failed; it doubles from
-	// one to the other, and half of it either way is drawn. The store must be known to be
-	// back within a fraction of a second.
+	// minBackoff is the first pause after a failed call. The pause doubles up to maxBackoff and
+	// is randomized by half of its length in either direction. The return of the store must be
+	// noticed within a fraction of a second.
 	minBackoff = 100 * time.Millisecond
-	// maxBackoff is the longest pause.
+	// maxBackoff is the longest pause before randomization.
 	maxBackoff = 400 * time.Millisecond
-	// restPause is how often a mirror that is at rest looks whether it is still.
-	restPause = 100 * time.Millisecond
-	// pollSpread is the part of a watch's timeout that is drawn, so that the watches of
-	// many processes do not end together.
-	pollSpread = 0.5
-	// confirmPoll is a watch's timeout after a failure: its answer only has to tell that
-	// the store is back. Without it the return was noted late.
-	confirmPoll = 20 * time.Millisecond
+	// idleCheckInterval is how often an idle mirror checks whether it should be active.
+	idleCheckInterval = 100 * time.Millisecond
+	// pollJitter is the fraction of a watch's timeout that is randomized, so that the watches of
+	// many processes do not end at the same time.
+	pollJitter = 0.5
+	// recoveryPollTimeout is a watch's timeout after a failure. The watch only has to confirm
+	// that the store is back; with the usual timeout the recovery was detected late.
+	recoveryPollTimeout = 20 * time.Millisecond
 )
 
-// Mirror keeps the copy. It is safe for concurrent use.
+// Mirror maintains the copy. It is safe for concurrent use.
 type Mirror struct {
 	cfg    Config
 	notify func(*State)
 
 	state atomic.Pointer[State]
-	// behind is the highest revision that is known to exist elsewhere.
-	behind atomic.Int64
-	// lost is set while the store does not answer. Only Run's goroutine uses it.
+	// knownRevision is the highest revision passed to NoteNewerRevision since the last list.
+	knownRevision atomic.Int64
+	// lost is set while the store is unreachable. Only Run's goroutine uses it.
 	lost bool
 
-	// mu makes changes of state one at a time.
+	// mu serializes changes of state and guards the functions below.
 	mu sync.Mutex
-	// cancel ends the call under way, cancelWatch only one that is a watch.
+	// cancel ends the current call; cancelWatch ends it only if it is a watch.
 	cancel, cancelWatch context.CancelFunc
 }
 
-// New returns a Mirror; notify is called with every new state, one call at a time.
+// New returns a Mirror. notify is called with each new state, one call at a time.
 func New(cfg Config, notify func(*State)) *Mirror {
-	if cfg.Reach == nil {
-		cfg.Reach = func(bool) {}
+	if cfg.OnReachability == nil {
+		cfg.OnReachability = func(bool) {}
 	}
-	if cfg.HistoryGone == nil {
-		cfg.HistoryGone = func() {}
+	if cfg.OnHistoryGone == nil {
+		cfg.OnHistoryGone = func() {}
 	}
 	if cfg.Active == nil {
 		cfg.Active = func() bool { return true }
@@ -68,25 +67,25 @@
 	return m
 }
 
-// State returns the newest copy; its revision is 0 before the first.
+// State returns the current copy; its revision is 0 before the first list.
 func (m *Mirror) State() *State {
 	return m.state.Load()
 }
 
-// Run keeps the copy until ctx ends.
+// Run maintains the copy until ctx ends.
 func (m *Mirror) Run(ctx context.Context) {
 	pause := minBackoff
 	for ctx.Err() == nil {
-		if m.resting() {
-			wait.For(ctx, restPause)
+		if m.idle() {
+			wait.For(ctx, idleCheckInterval)
 			continue
 		}
-		err := m.once(ctx)
+		err := m.step(ctx)
 		if err == nil {
 			pause = minBackoff
 			continue
 		}
-		if m.behind.Load() > m.State().Revision {
+		if m.knownRevision.Load() > m.State().Revision {
 			pause = minBackoff
 		}
 		wait.For(ctx, time.Duration((0.5+m.cfg.Random())*float64(pause)))
@@ -94,35 +93,35 @@
 	}
 }
 
-// resting returns whether the mirror makes no calls now. One that comes to rest
-// no longer says that the store is lost.
-func (m *Mirror) resting() bool {
-	if m.cfg.Active() || m.behind.Load() > m.State().Revision {
+// idle reports whether the mirror currently makes no calls. A mirror that becomes idle no
+// longer reports the store as unreachable.
+func (m *Mirror) idle() bool {
+	if m.cfg.Active() || m.knownRevision.Load() > m.State().Revision {
 		return false
 	}
 	if m.lost {
 		m.lost = false
-		m.cfg.Reach(false)
+		m.cfg.OnReachability(false)
 	}
 	return true
 }
 
-// Behind tells that a revision exists elsewhere. A watch that should have
-// brought it is cut and replaced by a list.
-func (m *Mirror) Behind(revision int64) {
+// NoteNewerRevision records that a revision exists elsewhere. If the copy is older, the
+// current call is canceled and a list follows: the watch should have delivered the revision.
+func (m *Mirror) NoteNewerRevision(revision int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if revision <= m.State().Revision || revision <= m.behind.Load() {
+	if revision <= m.State().Revision || revision <= m.knownRevision.Load() {
 		return
 	}
-	m.behind.Store(revision)
+	m.knownRevision.Store(revision)
 	if m.cancel != nil {
 		m.cancel()
 	}
 }
 
-// Recheck makes a watch under way be asked anew: where the store lost it without a
-// word, the new one tells that. A list is not disturbed.
+// Recheck restarts a watch in progress. If the store has silently dropped the watch, the new
+// one reveals it. A list in progress is not interrupted.
 func (m *Mirror) Recheck() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -131,8 +130,9 @@
 	}
 }
 
-// Take takes in a copy that was had from elsewhere, if it is a newer one.
-func (m *Mirror) Take(s *State) bool {
+// ReplaceIfNewer replaces the copy by s, which was obtained from another process, if s is
+// newer. It reports whether it did.
+func (m *Mirror) ReplaceIfNewer(s *State) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !s.Version().NewerThan(m.State().Version()) {
@@ -145,29 +145,29 @@
 	return true
 }
 
-// once makes one call.
-func (m *Mirror) once(ctx context.Context) error {
+// step makes one call to the store, or a list after a watch whose history is gone.
+func (m *Mirror) step(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	m.mu.Lock()
 	m.cancel = cancel
 	m.mu.Unlock()
 	current := m.State()
-	if current.Revision == 0 || m.behind.Load() > current.Revision {
+	if current.Revision == 0 || m.knownRevision.Load() > current.Revision {
 		return m.list(ctx)
 	}
 	events, at, err := m.watch(ctx, current.Revision)
 	var gone *HistoryGoneError
 	if errors.As(err, &gone) {
 		m.cfg.Log.Info("history gone", "kind", m.cfg.Kind, "revision", current.Revision)
-		m.cfg.HistoryGone()
+		m.cfg.OnHistoryGone()
 		return m.list(ctx)
 	}
 	if err != nil {
-		m.failed(err)
+		m.noteFailure(err)
 		return err
 	}
-	m.succeeded()
+	m.noteSuccess()
 	m.apply(current, events, at)
 	if len(events) > 0 && m.cfg.Coalesce > 0 {
 		wait.For(ctx, m.cfg.Coalesce)
@@ -175,13 +175,13 @@
 	return nil
 }
 
-// watch asks for the changes after revision; Recheck ends it.
+// watch returns the changes after revision. Recheck cancels it.
 func (m *Mirror) watch(ctx context.Context, revision int64) ([]Event, int64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	m.setCancelWatch(cancel)
 	defer m.setCancelWatch(nil)
-	return m.cfg.Source.Watch(ctx, revision, m.drawPollTimeout())
+	return m.cfg.Source.Watch(ctx, revision, m.nextPollTimeout())
 }
 
 func (m *Mirror) setCancelWatch(cancel context.CancelFunc) {
@@ -190,34 +190,34 @@
 	m.cancelWatch = cancel
 }
 
-func (m *Mirror) drawPollTimeout() time.Duration {
+func (m *Mirror) nextPollTimeout() time.Duration {
 	if m.lost {
-		return confirmPoll
+		return recoveryPollTimeout
 	}
-	return time.Duration((1 - pollSpread*m.cfg.Random()) * float64(m.cfg.PollTimeout()))
+	return time.Duration((1 - pollJitter*m.cfg.Random()) * float64(m.cfg.PollTimeout()))
 }
 
 func (m *Mirror) list(ctx context.Context) error {
 	objects, at, err := m.cfg.Source.List(ctx)
 	if err != nil {
-		m.failed(err)
+		m.noteFailure(err)
 		return err
 	}
-	m.succeeded()
+	m.noteSuccess()
 	s := newState(at, len(objects))
 	for _, o := range objects {
 		s.put(o)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.behind.Store(0)
+	m.knownRevision.Store(0)
 	if at > m.State().Revision {
 		m.set(s)
 	}
 	return nil
 }
 
-// apply adds events to the state that they follow.
+// apply applies events to base, unless the copy has been replaced since.
 func (m *Mirror) apply(base *State, events []Event, at int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -225,8 +225,8 @@
 		return
 	}
 	if len(events) == 0 {
-		// The revision stays: a store that loses watches may tell one that is
-		// past changes of which this watch heard nothing.
+		// Keep the revision: a store that has dropped the watch may return one that is newer
+		// than changes it did not deliver.
 		return
 	}
 	s := &State{Revision: at, Changed: base.Changed, Digest: base.Digest, Objects: maps.Clone(base.Objects)}
@@ -246,20 +246,20 @@
 	m.notify(s)
 }
 
-func (m *Mirror) failed(err error) {
+func (m *Mirror) noteFailure(err error) {
 	if m.lost || errors.Is(err, context.Canceled) {
 		return
 	}
 	m.lost = true
-	m.cfg.Reach(true)
+	m.cfg.OnReachability(true)
 	m.cfg.Log.Warn("store lost", "kind", m.cfg.Kind, "revision", m.State().Revision, "err", err)
 }
 
-func (m *Mirror) succeeded() {
+func (m *Mirror) noteSuccess() {
 	if !m.lost {
 		return
 	}
 	m.lost = false
-	m.cfg.Reach(false)
+	m.cfg.OnReachability(false)
 	m.cfg.Log.Info("store regained", "kind", m.cfg.Kind, "revision", m.State().Revision)
 }
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -15,21 +15,22 @@
 	"github.com/silverdeck/silverdeck/mirror"
 )
 
-// store is a source whose watches can be made to fail in many ways.
+// store is a Source whose calls can be made to fail in several ways.
 type store struct {
 	mu       sync.Mutex
 	revision int64
 	objects  map[string]int64
 	events   []event
 	changed  chan struct{}
-	// oldest is the first revision whose changes are still known.
+	// oldest is the oldest revision after which changes are still available.
 	oldest int64
-	// deaf makes watches hear nothing, not even their end; hushed ones end, and
-	// tell a revision that is past what they did not hear.
-	deaf   bool
-	hushed bool
-	down   bool
-	calls  int
+	// unresponsive makes watches block until the client gives up.
+	unresponsive bool
+	// dropsEvents makes watches time out without events, at a revision newer than the
+	// changes that they did not deliver.
+	dropsEvents bool
+	down        bool
+	calls       int
 }
 
 type event struct {
@@ -81,26 +82,26 @@
 func (s *store) Watch(ctx context.Context, revision int64, hold time.Duration) ([]mirror.Event, int64, error) {
 	s.mu.Lock()
 	s.calls++
-	deaf, down, gone := s.deaf, s.down, revision < s.oldest
+	unresponsive, down, gone := s.unresponsive, s.down, revision < s.oldest
 	s.mu.Unlock()
 	switch {
 	case down:
 		return nil, 0, errDown
 	case gone:
 		return nil, 0, &mirror.HistoryGoneError{Revision: revision}
-	case deaf:
-		return s.silence(ctx, hold)
+	case unresponsive:
+		return s.blockUnanswered(ctx, hold)
 	}
 	end := time.After(hold)
 	for {
 		s.mu.Lock()
-		events, at, changed, deaf := s.since(revision), s.revision, s.changed, s.deaf
-		if s.hushed {
+		events, at, changed, unresponsive := s.since(revision), s.revision, s.changed, s.unresponsive
+		if s.dropsEvents {
 			events = nil
 		}
 		s.mu.Unlock()
-		if deaf {
-			return s.silence(ctx, hold)
+		if unresponsive {
+			return s.blockUnanswered(ctx, hold)
 		}
 		if len(events) > 0 {
 			return events, at, nil
@@ -115,8 +116,8 @@
 	}
 }
 
-// silence is a watch that is never answered; the client gives it up.
-func (s *store) silence(ctx context.Context, hold time.Duration) ([]mirror.Event, int64, error) {
+// blockUnanswered is a watch that the store never answers and the client gives up.
+func (s *store) blockUnanswered(ctx context.Context, hold time.Duration) ([]mirror.Event, int64, error) {
 	select {
 	case <-time.After(hold + time.Second):
 		return nil, 0, context.DeadlineExceeded
@@ -137,13 +138,13 @@
 
 const hold = 3 * time.Second
 
-// play runs f with a mirror of a store that holds object a.
-func play(t *testing.T, f func(g *WithT, s *store, m *mirror.Mirror)) {
-	playWith(t, func(*mirror.Config) {}, f)
+// runMirror runs f with a mirror of a store that holds object a.
+func runMirror(t *testing.T, f func(g *WithT, s *store, m *mirror.Mirror)) {
+	runMirrorWith(t, func(*mirror.Config) {}, f)
 }
 
-// playWith is play with other settings of the mirror.
-func playWith(t *testing.T, set func(*mirror.Config), f func(g *WithT, s *store, m *mirror.Mirror)) {
+// runMirrorWith is like runMirror, with changes to the mirror's configuration.
+func runMirrorWith(t *testing.T, set func(*mirror.Config), f func(g *WithT, s *store, m *mirror.Mirror)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		s.change("a", false)
@@ -170,7 +171,7 @@
 }
 
 func TestAMirrorFollowsChanges(t *testing.T) {
-	play(t, func(g *WithT, s *store, m *mirror.Mirror) {
+	runMirror(t, func(g *WithT, s *store, m *mirror.Mirror) {
 		g.Expect(names(m)).To(ConsistOf("a"))
 		s.change("b", false)
 		synctest.Wait()
@@ -183,45 +184,45 @@
 }
 
 func TestAMirrorThatFindsHistoryGoneListsAnew(t *testing.T) {
-	play(t, func(g *WithT, s *store, m *mirror.Mirror) {
-		s.set(func() { s.deaf = true })
+	runMirror(t, func(g *WithT, s *store, m *mirror.Mirror) {
+		s.set(func() { s.unresponsive = true })
 		s.change("b", false)
 		time.Sleep(hold)
 		s.change("c", false)
-		s.set(func() { s.deaf, s.oldest = false, 3 })
+		s.set(func() { s.unresponsive, s.oldest = false, 3 })
 		time.Sleep(2 * time.Second)
 		g.Expect(names(m)).To(ConsistOf("a", "b", "c"))
 	})
 }
 
 func TestALostWatchIsFoundOutWithinItsHold(t *testing.T) {
-	play(t, func(g *WithT, s *store, m *mirror.Mirror) {
-		s.set(func() { s.deaf = true })
+	runMirror(t, func(g *WithT, s *store, m *mirror.Mirror) {
+		s.set(func() { s.unresponsive = true })
 		s.change("b", false)
 		time.Sleep(100 * time.Millisecond)
-		s.set(func() { s.deaf, s.oldest = false, 2 })
+		s.set(func() { s.unresponsive, s.oldest = false, 2 })
 		time.Sleep(hold + time.Second)
 		g.Expect(names(m)).To(ConsistOf("a", "b"))
 	})
 }
 
 func TestAWatchThatEndsWithoutNewsSkipsNothing(t *testing.T) {
-	play(t, func(g *WithT, s *store, m *mirror.Mirror) {
-		s.set(func() { s.hushed = true })
+	runMirror(t, func(g *WithT, s *store, m *mirror.Mirror) {
+		s.set(func() { s.dropsEvents = true })
 		s.change("b", false)
 		time.Sleep(hold + 100*time.Millisecond)
-		s.set(func() { s.hushed = false })
+		s.set(func() { s.dropsEvents = false })
 		time.Sleep(hold + time.Second)
 		g.Expect(names(m)).To(ConsistOf("a", "b"))
 	})
 }
 
 func TestAMirrorThatHearsOfMoreListsAtOnce(t *testing.T) {
-	play(t, func(g *WithT, s *store, m *mirror.Mirror) {
-		s.set(func() { s.deaf = true })
+	runMirror(t, func(g *WithT, s *store, m *mirror.Mirror) {
+		s.set(func() { s.unresponsive = true })
 		s.change("b", false)
 		synctest.Wait()
-		m.Behind(2)
+		m.NoteNewerRevision(2)
 		time.Sleep(200 * time.Millisecond)
 		g.Expect(names(m)).To(ConsistOf("a", "b"))
 	})
@@ -236,8 +237,8 @@
 			s.change("a", false)
 			mirrors[kind] = mirror.New(mirror.Config{
 				Kind: kind, Source: s, Random: func() float64 { return 0.5 }, Log: log.New(io.Discard),
-				PollTimeout: func() time.Duration { return hold },
-				HistoryGone: func() { mirrors[other].Recheck() },
+				PollTimeout:   func() time.Duration { return hold },
+				OnHistoryGone: func() { mirrors[other].Recheck() },
 			}, func(*mirror.State) {})
 			go mirrors[kind].Run(ctx)
 		}
@@ -247,34 +248,34 @@
 		start(ctx, "heard", "lost", heard, hold)
 		synctest.Wait()
 		for _, s := range []*store{lost, heard} {
-			s.set(func() { s.deaf = true })
+			s.set(func() { s.unresponsive = true })
 			s.change("b", false)
 			synctest.Wait()
-			s.set(func() { s.deaf, s.oldest, s.calls = false, 2, 0 })
+			s.set(func() { s.unresponsive, s.oldest, s.calls = false, 2, 0 })
 		}
 		time.Sleep(hold + 2*time.Second)
 		g.Expect(names(mirrors["lost"])).To(ConsistOf("a", "b"))
 		time.Sleep(10 * time.Second)
 		lost.set(func() {
-			g.Expect(lost.calls).To(BeNumerically("<=", 4), "two that are told do not tell each other for ever")
+			g.Expect(lost.calls).To(BeNumerically("<=", 4), "two mirrors must not restart each other's watches for ever")
 		})
 	})
 }
 
 func TestAMirrorTakesANewerCopyAndNoOlderOne(t *testing.T) {
-	play(t, func(g *WithT, s *store, m *mirror.Mirror) {
+	runMirror(t, func(g *WithT, s *store, m *mirror.Mirror) {
 		s.set(func() { s.down = true })
 		newer := &mirror.State{Revision: 9, Changed: 9, Objects: map[string]mirror.Object{"z": {Name: "z", Revision: 9}}}
-		g.Expect(m.Take(newer)).To(BeTrue())
+		g.Expect(m.ReplaceIfNewer(newer)).To(BeTrue())
 		g.Expect(names(m)).To(ConsistOf("z"))
-		g.Expect(m.Take(&mirror.State{Revision: 12, Changed: 8})).To(BeFalse(), "confirmed later, and older")
-		g.Expect(m.Take(&mirror.State{Revision: 8, Changed: 8})).To(BeFalse())
+		g.Expect(m.ReplaceIfNewer(&mirror.State{Revision: 12, Changed: 8})).To(BeFalse(), "later revision, but older objects")
+		g.Expect(m.ReplaceIfNewer(&mirror.State{Revision: 8, Changed: 8})).To(BeFalse())
 		g.Expect(names(m)).To(ConsistOf("z"))
 	})
 }
 
 func TestAMirrorReturnsSoonAfterAnOutageAndDoesNotPress(t *testing.T) {
-	play(t, func(g *WithT, s *store, m *mirror.Mirror) {
+	runMirror(t, func(g *WithT, s *store, m *mirror.Mirror) {
 		s.set(func() { s.down, s.calls = true, 0 })
 		s.change("b", false)
 		time.Sleep(20 * time.Second)
@@ -288,16 +289,16 @@
 }
 
 func TestTheReturnOfTheStoreIsToldSoonThoughNothingChanges(t *testing.T) {
-	var told []bool
-	reach := func(cfg *mirror.Config) { cfg.Reach = func(lost bool) { told = append(told, lost) } }
-	playWith(t, reach, func(g *WithT, s *store, _ *mirror.Mirror) {
+	var reported []bool
+	reach := func(cfg *mirror.Config) { cfg.OnReachability = func(lost bool) { reported = append(reported, lost) } }
+	runMirrorWith(t, reach, func(g *WithT, s *store, _ *mirror.Mirror) {
 		s.set(func() { s.down = true })
 		time.Sleep(2 * hold)
 		synctest.Wait()
-		g.Expect(told).To(Equal([]bool{true}))
+		g.Expect(reported).To(Equal([]bool{true}))
 		s.set(func() { s.down = false })
 		time.Sleep(time.Second)
 		synctest.Wait()
-		g.Expect(told).To(Equal([]bool{true, false}))
+		g.Expect(reported).To(Equal([]bool{true, false}))
 	})
 }
--- a/mirror/source.go
+++ b/mirror/source.go
@@ -2,41 +2,42 @@
 
 import (
 	"context"
+	"fmt"
 	"time"
 )
 
-// Object is one object of the store.
+// Object is an object in the store.
 type Object struct {
 	Name     string
 	Revision int64
-	// Data is the object as the store sent it.
+	// Data is the object as encoded by the store.
 	Data []byte
 }
 
-// Event is a change of one object.
+// Event is a change to one object.
 type Event struct {
 	Object Object
-	// Gone is set when the object was removed.
+	// Gone is set if the object was removed.
 	Gone bool
 }
 
-// Source reads one kind of objects.
+// Source reads objects of one kind.
 type Source interface {
 	// List returns all objects and the store's revision.
 	List(ctx context.Context) ([]Object, int64, error)
-	// Watch returns the changes after revision as soon as there are some, or
-	// none after a while, and the revision to go on from. It returns
-	// *HistoryGoneError when the store no longer has these changes. timeout is how
-	// long the store may wait for changes.
+	// Watch waits for changes after revision and returns them with the revision from which
+	// to continue. timeout is how long the store may wait; if nothing has changed by then,
+	// there are no events. If the store no longer has the changes, the error is a
+	// *HistoryGoneError.
 	Watch(ctx context.Context, revision int64, timeout time.Duration) ([]Event, int64, error)
 }
 
-// HistoryGoneError tells that changes can't be had any more; a list can.
+// HistoryGoneError is returned when the store no longer has the changes after Revision. The
+// objects must be listed instead.
 type HistoryGoneError struct {
 	Revision int64
 }
 
-// Error says so.
 func (e *HistoryGoneError) Error() string {
-	return "mirror: the store's history is gone"
+	return fmt.Sprintf("mirror: the store no longer has the changes after revision %d", e.Revision)
 }
--- a/mirror/state.go
+++ b/mirror/state.go
@@ -9,14 +9,14 @@
 // State is a copy of all objects at one revision.
 type State struct {
 	Revision int64
-	// Changed is the highest revision of an object that was seen to change.
+	// Changed is the highest revision of any object seen so far, including deletions.
 	Changed int64
-	// Digest tells copies with different objects apart.
+	// Digest is a hash of the names and revisions of all objects.
 	Digest  uint64
 	Objects map[string]Object
 }
 
-// Version tells which of two copies is the newer one.
+// Version identifies a copy, to determine which of two is newer.
 type Version struct {
 	Revision int64  `json:"rev"`
 	Digest   uint64 `json:"digest"`
@@ -27,17 +27,17 @@
 	return Version{Revision: s.Revision, Digest: s.Digest}
 }
 
-// NewerThan returns whether v is a later copy than u with other objects.
+// NewerThan reports whether v is a later copy than u with different objects.
 func (v Version) NewerThan(u Version) bool {
 	return v.Revision > u.Revision && (v.Digest != u.Digest || u.Revision == 0)
 }
 
-// digest returns what one object adds to a copy's digest.
+// digest returns the object's contribution to a copy's digest.
 func (o *Object) digest() uint64 {
 	return xxhash.Sum64String(o.Name + "\x00" + strconv.FormatInt(o.Revision, 10))
 }
 
-// put adds o, or puts it in the place of the object of that name.
+// put adds o, replacing any object with the same name.
 func (s *State) put(o Object) {
 	s.remove(o.Name)
 	s.Objects[o.Name] = o
@@ -57,15 +57,16 @@
 	return &State{Revision: revision, Objects: make(map[string]Object, n)}
 }
 
-// Delta is what a copy has beyond an older one.
+// Delta is the difference of a copy from an older one.
 type Delta struct {
 	Version Version
-	// Names are all objects, Objects those that changed after the older copy.
+	// Names lists all objects of the copy; Objects holds those that are newer than the older
+	// copy.
 	Names   []string
 	Objects []Object
 }
 
-// Since returns what s has beyond a copy that has all changes up to changed.
+// Since returns the difference of s from a copy that has all changes up to revision changed.
 func (s *State) Since(changed int64) *Delta {
 	d := &Delta{Version: s.Version(), Names: make([]string, 0, len(s.Objects))}
 	for name, o := range s.Objects {
@@ -77,15 +78,16 @@
 	return d
 }
 
-// Apply returns s with d, or false when s lacks more than d has.
+// Apply returns s with d applied. It returns false if an object is missing from both s and d,
+// or if the digest of the result differs from that of d.
 func (s *State) Apply(d *Delta) (*State, bool) {
 	out := newState(d.Version.Revision, len(d.Names))
-	fresh := make(map[string]Object, len(d.Objects))
+	changed := make(map[string]Object, len(d.Objects))
 	for _, o := range d.Objects {
-		fresh[o.Name] = o
+		changed[o.Name] = o
 	}
 	for _, name := range d.Names {
-		o, found := fresh[name]
+		o, found := changed[name]
 		if !found {
 			o, found = s.Objects[name]
 		}
--- a/mirror/state_test.go
+++ b/mirror/state_test.go
@@ -11,10 +11,11 @@
 	"github.com/silverdeck/silverdeck/mirror"
 )
 
-// stateOf returns the copy of a store after changes; a leading "-" removes.
+// stateOf returns the copy of a store after the given changes; a leading "-" deletes the
+// object.
 func stateOf(t *testing.T, changes ...string) *mirror.State {
 	var out *mirror.State
-	play(t, func(_ *WithT, s *store, m *mirror.Mirror) {
+	runMirror(t, func(_ *WithT, s *store, m *mirror.Mirror) {
 		for _, name := range changes {
 			s.change(name[len(name)-1:], name[0] == '-')
 			synctest.Wait()
@@ -30,7 +31,7 @@
 	newer := stateOf(t, "b", "c", "d", "-b", "a")
 	delta := newer.Since(older.Changed)
 	g.Expect(delta.Names).To(ConsistOf("a", "c", "d"))
-	g.Expect(delta.Objects).To(HaveLen(2), "c is known")
+	g.Expect(delta.Objects).To(HaveLen(2), "c is unchanged")
 	got, whole := older.Apply(delta)
 	g.Expect(whole).To(BeTrue())
 	g.Expect(got).To(Equal(newer))
@@ -59,12 +60,12 @@
 func TestAMirrorAtRestMakesNoCallsButTakesCopiesAndListsWhenBehind(t *testing.T) {
 	var active atomic.Bool
 	set := func(cfg *mirror.Config) { cfg.Active = func() bool { return active.Load() } }
-	playWith(t, set, func(g *WithT, s *store, m *mirror.Mirror) {
+	runMirrorWith(t, set, func(g *WithT, s *store, m *mirror.Mirror) {
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		g.Expect(s.calls).To(BeZero())
-		g.Expect(m.Take(&mirror.State{Revision: 1, Digest: 7})).To(BeTrue())
-		m.Behind(2)
+		g.Expect(m.ReplaceIfNewer(&mirror.State{Revision: 1, Digest: 7})).To(BeTrue())
+		m.NoteNewerRevision(2)
 		s.change("b", false)
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -82,9 +83,9 @@
 	active.Store(true)
 	set := func(cfg *mirror.Config) {
 		cfg.Active = func() bool { return active.Load() }
-		cfg.Reach = func(now bool) { lost.Store(now) }
+		cfg.OnReachability = func(now bool) { lost.Store(now) }
 	}
-	playWith(t, set, func(g *WithT, s *store, _ *mirror.Mirror) {
+	runMirrorWith(t, set, func(g *WithT, s *store, _ *mirror.Mirror) {
 		s.set(func() { s.down = true })
 		time.Sleep(2 * hold)
 		g.Expect(lost.Load()).To(BeTrue())
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -9,7 +9,7 @@
 	"github.com/silverdeck/silverdeck/rendezvous"
 )
 
-// A name that goes moves only what it had.
+// Removing a name must move only the keys assigned to it.
 func TestAKeyStaysWhereItWasWhenAnotherNameGoes(t *testing.T) {
 	g := NewWithT(t)
 	had := map[string]int{}
@@ -27,7 +27,7 @@
 	g.Expect(rendezvous.Choose("key", nil)).To(BeEmpty())
 }
 
-// Programs that run side by side during an upgrade must choose alike.
+// Different versions that run side by side during an upgrade must choose the same name.
 func TestTheChoiceStaysFromOneReleaseToTheNext(t *testing.T) {
 	g := NewWithT(t)
 	names := []string{"10.0.0.1:7700", "10.0.0.2:7700", "10.0.0.3:7700"}
--- a/roster/life.go
+++ b/roster/life.go
@@ -1,22 +1,22 @@
 package roster
 
-// Life is one life of an endpoint, from a start to its end. An endpoint that starts again
-// may keep its ID; it then holds and knows nothing of before. What is believed of an
-// endpoint, counted there or told of it belongs to one life.
-type Life struct {
+// Incarnation is one run of an endpoint from a start to its end. A restarted endpoint may keep
+// its ID, but has none of its former state. Health, request counts and advice therefore
+// belong to an incarnation.
+type Incarnation struct {
 	ID string
-	// Born is when the life began, in Unix milliseconds by the endpoint's own clock; 0 where
-	// that is not told, as by older programs.
+	// Born is the start time in Unix milliseconds by the endpoint's own clock, or 0 if it is
+	// unknown, as with older versions.
 	Born int64
 }
 
-// Same returns whether l and m are one life as far as can be known: a life of which it is
-// not told when it began may be any of its ID.
-func (l Life) Same(m Life) bool {
+// Same reports whether l and m may be the same incarnation: one with an unknown start time
+// matches any with its ID.
+func (l Incarnation) Same(m Incarnation) bool {
 	return l.ID == m.ID && (l.Born == m.Born || l.Born == 0 || m.Born == 0)
 }
 
-// Before returns whether l is an earlier life of the same endpoint than m.
-func (l Life) Before(m Life) bool {
+// Before reports whether l is an earlier incarnation of the same endpoint than m.
+func (l Incarnation) Before(m Incarnation) bool {
 	return l.ID == m.ID && l.Born != 0 && l.Born < m.Born
 }
--- a/roster/life_test.go
+++ b/roster/life_test.go
@@ -11,15 +11,15 @@
 func TestLivesOfAnEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		l, m         roster.Life
+		l, m         roster.Incarnation
 		same, before bool
 	}{
-		{"one life", roster.Life{ID: "e", Born: 5}, roster.Life{ID: "e", Born: 5}, true, false},
-		{"started again", roster.Life{ID: "e", Born: 5}, roster.Life{ID: "e", Born: 6}, false, true},
-		{"told late of an earlier one", roster.Life{ID: "e", Born: 6}, roster.Life{ID: "e", Born: 5}, false, false},
-		{"not told by an older program", roster.Life{ID: "e"}, roster.Life{ID: "e", Born: 6}, true, false},
-		{"not told before", roster.Life{ID: "e", Born: 6}, roster.Life{ID: "e"}, true, false},
-		{"another endpoint", roster.Life{ID: "e", Born: 5}, roster.Life{ID: "f", Born: 6}, false, false},
+		{"same incarnation", roster.Incarnation{ID: "e", Born: 5}, roster.Incarnation{ID: "e", Born: 5}, true, false},
+		{"restarted", roster.Incarnation{ID: "e", Born: 5}, roster.Incarnation{ID: "e", Born: 6}, false, true},
+		{"late report of an earlier incarnation", roster.Incarnation{ID: "e", Born: 6}, roster.Incarnation{ID: "e", Born: 5}, false, false},
+		{"start time missing from an older version", roster.Incarnation{ID: "e"}, roster.Incarnation{ID: "e", Born: 6}, true, false},
+		{"start time unknown so far", roster.Incarnation{ID: "e", Born: 6}, roster.Incarnation{ID: "e"}, true, false},
+		{"another endpoint", roster.Incarnation{ID: "e", Born: 5}, roster.Incarnation{ID: "f", Born: 6}, false, false},
 	} {
 		g := NewWithT(t)
 		g.Expect(c.l.Same(c.m)).To(Equal(c.same), c.name)
--- a/roster/retention.go
+++ b/roster/retention.go
@@ -6,54 +6,53 @@
 	"time"
 )
 
-// How many endpoints of a service vanish together only when the platform forgot
-// them.
+// Thresholds for a mass disappearance: so many endpoints of a service are missing from the
+// platform's list at once only if the platform has lost their records.
 const (
-	// massCount is the least number: two may die together.
-	massCount = 3
-	// massShare is the least part of the service's endpoints.
-	massShare = 0.4
+	// minMassCount is the least number of endpoints; two may fail at the same time.
+	minMassCount = 3
+	// minMassShare is the least share of the service's endpoints.
+	minMassShare = 0.4
 )
 
-// Retention keeps endpoints that vanish from the platform's list because its
-// store was away and could not take their heartbeats. They are back soon after
-// the store's return; one that is still missing then is gone. It is safe for
-// concurrent use.
+// Retention keeps endpoints that disappear from the platform's list because its store was
+// unavailable and could not record their heartbeats. Their records return soon after the
+// store does; an endpoint that is still missing then is gone. It is safe for concurrent use.
 type Retention struct {
-	grace, unnoticed time.Duration
+	grace, unnoticedGrace time.Duration
 
 	mu sync.Mutex
-	// storeLost is set while the store does not answer.
+	// storeLost is set while the store is unreachable.
 	storeLost bool
-	// returnedAt is when the store last answered again.
+	// returnedAt is when the store last became reachable again.
 	returnedAt time.Time
-	// kept are the vanished endpoints, by ID.
-	kept map[string]term
+	// kept holds the retained endpoints, by ID.
+	kept map[string]retained
 }
 
-// term is for how long a vanished endpoint is kept.
-type term struct {
+// retained is how long a missing endpoint is kept.
+type retained struct {
 	until time.Time
-	// together is set for one that vanished with many others. While the store is away it is
-	// kept, also where the store was found to be away only afterwards.
-	together bool
+	// mass is set for an endpoint that disappeared in a mass disappearance. It is kept while
+	// the store is unreachable, even if that is detected only after the disappearance.
+	mass bool
 }
 
-// NewRetention returns a Retention that keeps vanished endpoints for grace
-// after the store's return, and for unnoticed when many vanish together although
-// no copy of the store was seen to fail.
-func NewRetention(grace, unnoticed time.Duration) *Retention {
-	return &Retention{grace: grace, unnoticed: unnoticed, kept: map[string]term{}}
+// NewRetention returns a Retention that keeps missing endpoints for grace after the store's
+// return. After a mass disappearance without a detected store failure it keeps them for
+// unnoticedGrace.
+func NewRetention(grace, unnoticedGrace time.Duration) *Retention {
+	return &Retention{grace: grace, unnoticedGrace: unnoticedGrace, kept: map[string]retained{}}
 }
 
-// StoreLost notes that the store answers no gateway that watches it.
+// StoreLost records that the store answers none of the gateways that watch it.
 func (r *Retention) StoreLost() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.storeLost = true
 }
 
-// StoreReturned notes that the store answers again.
+// StoreReturned records that the store is reachable again.
 func (r *Retention) StoreReturned(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,18 +63,17 @@
 	r.returnedAt = now
 }
 
-// Fill adds to list the endpoints of before that have vanished from it and may
-// be back. It returns when the first of them is to be given up, or the zero
-// time when none was added.
-func (r *Retention) Fill(list, before *List, now time.Time) time.Time {
+// AddRetained adds to list those endpoints of before that are missing from it and may return.
+// It returns when the first of them expires, or the zero time if none was added.
+func (r *Retention) AddRetained(list, before *List, now time.Time) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.kept, func(id string, _ term) bool { return list.Endpoints[id] != nil })
+	maps.DeleteFunc(r.kept, func(id string, _ retained) bool { return list.Endpoints[id] != nil })
 	if before == nil {
 		return time.Time{}
 	}
-	together := vanishedTogether(list, before)
-	until := r.until(together, now)
+	together := isMassDisappearance(list, before)
+	until := r.initialExpiry(together, now)
 	var first time.Time
 	for id, e := range before.Endpoints {
 		if list.Endpoints[id] != nil || e.Leaving {
@@ -83,10 +81,10 @@
 		}
 		t, known := r.kept[id]
 		if !known {
-			t = term{until: until, together: together}
+			t = retained{until: until, mass: together}
 			r.kept[id] = t
 		}
-		end := r.end(t, now)
+		end := r.expiry(t, now)
 		if !now.Before(end) {
 			delete(r.kept, id)
 			continue
@@ -99,9 +97,9 @@
 	return first
 }
 
-// end returns until when an endpoint is kept, as it looks now. The caller holds the lock.
-func (r *Retention) end(t term, now time.Time) time.Time {
-	if !t.together {
+// expiry returns when an endpoint expires, as far as is known now. The lock must be held.
+func (r *Retention) expiry(t retained, now time.Time) time.Time {
+	if !t.mass {
 		return t.until
 	}
 	if r.storeLost {
@@ -113,22 +111,21 @@
 	return t.until
 }
 
-// until returns for how long endpoints that vanish now, together with many others or not,
-// are kept. The caller holds the lock.
-func (r *Retention) until(together bool, now time.Time) time.Time {
+// initialExpiry returns when endpoints that disappear now expire. The lock must be held.
+func (r *Retention) initialExpiry(together bool, now time.Time) time.Time {
 	if r.storeLost {
 		return now.Add(r.grace)
 	}
 	until := r.returnedAt.Add(r.grace)
 	if !now.Before(until) && together {
-		return now.Add(r.unnoticed)
+		return now.Add(r.unnoticedGrace)
 	}
 	return until
 }
 
-// vanishedTogether returns whether so many endpoints of one service are missing
-// from list that they can't all have left.
-func vanishedTogether(list, before *List) bool {
+// isMassDisappearance reports whether more endpoints of one service are missing from list
+// than can have left at the same time.
+func isMassDisappearance(list, before *List) bool {
 	all, missing := map[string]int{}, map[string]int{}
 	for id, e := range before.Endpoints {
 		all[e.Service]++
@@ -137,7 +134,7 @@
 		}
 	}
 	for service, n := range missing {
-		if n >= massCount && float64(n) >= massShare*float64(all[service]) {
+		if n >= minMassCount && float64(n) >= minMassShare*float64(all[service]) {
 			return true
 		}
 	}
--- a/roster/retention_test.go
+++ b/roster/retention_test.go
@@ -18,7 +18,7 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// list returns a list of endpoints of one service; a leading "-" marks one that leaves.
+// list returns a list of endpoints of one service; a leading "-" marks a leaving one.
 func list(ids ...string) *roster.List {
 	l := &roster.List{Endpoints: map[string]*roster.Endpoint{}}
 	for _, id := range ids {
@@ -45,21 +45,21 @@
 	r.StoreLost()
 	r.StoreReturned(at(0))
 	now := list("c")
-	g.Expect(r.Fill(now, list("a", "b", "c"), at(100))).To(Equal(at(2000)))
+	g.Expect(r.AddRetained(now, list("a", "b", "c"), at(100))).To(Equal(at(2000)))
 	g.Expect(ids(now)).To(ConsistOf("a", "b", "c"))
 	later := list("a", "c")
-	g.Expect(r.Fill(later, now, at(1500))).To(Equal(at(2000)))
+	g.Expect(r.AddRetained(later, now, at(1500))).To(Equal(at(2000)))
 	g.Expect(ids(later)).To(ConsistOf("a", "b", "c"))
 	last := list("a", "c")
-	g.Expect(r.Fill(last, later, at(2000))).To(BeZero())
-	g.Expect(ids(last)).To(ConsistOf("a", "c"), "one that is still missing is gone")
+	g.Expect(r.AddRetained(last, later, at(2000))).To(BeZero())
+	g.Expect(ids(last)).To(ConsistOf("a", "c"), "a missing endpoint has expired")
 }
 
 func TestAnEndpointThatVanishesWhileTheStoreAnswersIsGone(t *testing.T) {
 	g := NewWithT(t)
 	r := roster.NewRetention(grace, unnoticed)
 	now := list("b", "c")
-	g.Expect(r.Fill(now, list("a", "b", "c"), at(0))).To(BeZero())
+	g.Expect(r.AddRetained(now, list("a", "b", "c"), at(0))).To(BeZero())
 	g.Expect(ids(now)).To(ConsistOf("b", "c"))
 }
 
@@ -69,7 +69,7 @@
 	r.StoreLost()
 	r.StoreReturned(at(0))
 	now := list("b", "c", "d")
-	g.Expect(r.Fill(now, list("a", "b", "c", "d"), at(1200))).To(Equal(at(2000)))
+	g.Expect(r.AddRetained(now, list("a", "b", "c", "d"), at(1200))).To(Equal(at(2000)))
 	g.Expect(ids(now)).To(ConsistOf("a", "b", "c", "d"))
 }
 
@@ -78,7 +78,7 @@
 	r := roster.NewRetention(grace, unnoticed)
 	r.StoreLost()
 	now := list("b")
-	g.Expect(r.Fill(now, list("-a", "b"), at(0))).To(BeZero())
+	g.Expect(r.AddRetained(now, list("-a", "b"), at(0))).To(BeZero())
 	g.Expect(ids(now)).To(ConsistOf("b"))
 }
 
@@ -87,9 +87,9 @@
 	r := roster.NewRetention(grace, unnoticed)
 	r.StoreLost()
 	now := list("b", "c", "d")
-	g.Expect(r.Fill(now, list("a", "b", "c", "d"), at(500))).To(Equal(at(2500)))
+	g.Expect(r.AddRetained(now, list("a", "b", "c", "d"), at(500))).To(Equal(at(2500)))
 	next := list("b", "c", "d")
-	g.Expect(r.Fill(next, now, at(2500))).To(BeZero())
+	g.Expect(r.AddRetained(next, now, at(2500))).To(BeZero())
 	g.Expect(ids(next)).To(ConsistOf("b", "c", "d"))
 }
 
@@ -98,21 +98,21 @@
 	r := roster.NewRetention(grace, unnoticed)
 	before := list("a", "b", "c", "d", "e", "f", "g")
 	now := list("d", "e", "f", "g")
-	g.Expect(r.Fill(now, before, at(0))).To(Equal(at(1000)))
+	g.Expect(r.AddRetained(now, before, at(0))).To(Equal(at(1000)))
 	g.Expect(ids(now)).To(HaveLen(7))
 	few := list("c", "d", "e", "f", "g")
-	g.Expect(roster.NewRetention(grace, unnoticed).Fill(few, before, at(0))).To(BeZero(), "two may have left")
+	g.Expect(roster.NewRetention(grace, unnoticed).AddRetained(few, before, at(0))).To(BeZero(), "two may have left at the same time")
 }
 
-// Guards against a fleet that is unknown to all gateways while the store is away: its records
-// lapse with the store, which is found to be away only later.
+// Guards against losing all endpoints of a service in a store outage: their records lapse
+// together, before the gateways detect that the store is unreachable.
 func TestManyThatVanishedTogetherAreKeptWhileTheStoreIsAway(t *testing.T) {
 	before := list("a", "b", "c", "d")
 	for name, c := range map[string]struct{ lost, returned int }{
-		"found out before they vanished": {-100, 5000},
-		"found out afterwards":           {500, 5000},
-		"found out in the end":           {999, 5000},
-		"and returned at once":           {500, 600},
+		"detected before the disappearance": {-100, 5000},
+		"detected afterwards":               {500, 5000},
+		"detected just before they expire":  {999, 5000},
+		"detected afterwards, short outage": {500, 600},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -120,7 +120,7 @@
 			kept := before
 			look := func(ms int) []string {
 				next := list("d")
-				r.Fill(next, kept, at(ms))
+				r.AddRetained(next, kept, at(ms))
 				kept = next
 				return ids(next)
 			}
@@ -144,12 +144,12 @@
 	g := NewWithT(t)
 	r := roster.NewRetention(grace, unnoticed)
 	kept := list("d")
-	r.Fill(kept, list("a", "b", "c", "d"), at(0))
+	r.AddRetained(kept, list("a", "b", "c", "d"), at(0))
 	g.Expect(ids(kept)).To(HaveLen(4))
-	r.Fill(list("d"), kept, at(1000))
+	r.AddRetained(list("d"), kept, at(1000))
 	r.StoreLost()
 	last := list("d")
-	g.Expect(r.Fill(last, list("d"), at(1001))).To(BeZero())
+	g.Expect(r.AddRetained(last, list("d"), at(1001))).To(BeZero())
 	g.Expect(ids(last)).To(ConsistOf("d"))
 }
 
@@ -160,6 +160,6 @@
 	r.StoreReturned(at(0))
 	r.StoreReturned(at(1500))
 	now := list("b", "c", "d")
-	g.Expect(r.Fill(now, list("a", "b", "c", "d"), at(2100))).To(BeZero())
+	g.Expect(r.AddRetained(now, list("a", "b", "c", "d"), at(2100))).To(BeZero())
 	g.Expect(ids(now)).To(ConsistOf("b", "c", "d"))
 }
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,35 +1,35 @@
-// Package roster holds what the platform tells of endpoints, and decides which of
-// those that vanish from its list are kept (retention.go).
+// Package roster holds what the platform records about endpoints, and decides which endpoints
+// that disappear from its list are kept (retention.go).
 //
-// A List does not change once it is in force. Retention owns which endpoints are
-// kept until when, under a lock; it relies on being told whether the store answers.
+// A List must not be changed once it is in force. Retention tracks the endpoints that are kept
+// and must be told when the store becomes unreachable and when it returns.
 package roster
 
-// Weights is a model that an endpoint holds.
+// Weights is a version of a model that an endpoint holds.
 type Weights struct {
 	Model   string
 	Version int64
 }
 
-// Endpoint is what is known of an endpoint, in one of its lives.
+// Endpoint is the record of one incarnation of an endpoint.
 type Endpoint struct {
-	// ID names the endpoint, and Born tells which life of that name this is; see Life.
+	// ID and Born identify the incarnation; see Incarnation.
 	ID   string
 	Born int64
 
 	Service string
 	Addr    string
 	Zone    string
-	// Slots is how many requests it works on at a time.
+	// Slots is the number of requests that the endpoint processes concurrently.
 	Slots int
-	// Leaving is set ahead of a planned end.
+	// Leaving is set ahead of a planned stop.
 	Leaving bool
 	Weights []Weights
 }
 
-// Life returns which life of the endpoint this is.
-func (e *Endpoint) Life() Life {
-	return Life{ID: e.ID, Born: e.Born}
+// Incarnation returns the incarnation of the endpoint.
+func (e *Endpoint) Incarnation() Incarnation {
+	return Incarnation{ID: e.ID, Born: e.Born}
 }
 
 // Holds returns the version of model that the endpoint holds, or 0.
@@ -42,26 +42,26 @@
 	return 0
 }
 
-// List is what is known of all endpoints at one revision of the store.
+// List holds all endpoints at one revision of the store.
 type List struct {
 	Revision  int64
 	Endpoints map[string]*Endpoint
 }
 
-// ByAddr returns which endpoint has each address. Where several records name one, the life
-// that began last has it.
-func (l *List) ByAddr() map[string]Life {
-	out := make(map[string]Life, len(l.Endpoints))
+// ByAddr returns the endpoint at each address. If several records have the same address, the
+// incarnation that started last is returned.
+func (l *List) ByAddr() map[string]Incarnation {
+	out := make(map[string]Incarnation, len(l.Endpoints))
 	for _, e := range l.Endpoints {
 		if known, found := out[e.Addr]; !found || known.Born < e.Born {
-			out[e.Addr] = e.Life()
+			out[e.Addr] = e.Incarnation()
 		}
 	}
 	return out
 }
 
-// HeldByMost returns whether more than half of the endpoints that hold a model hold the
-// version or a newer one.
+// HeldByMost reports whether, of the endpoints that hold any version of model, more than half
+// hold the given version or a newer one.
 func (l *List) HeldByMost(model string, version int64) bool {
 	holders, upToDate := 0, 0
 	for _, e := range l.Endpoints {
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -18,7 +18,7 @@
 		{[]int64{0, 0}, false},
 		{[]int64{1, 2}, false},
 		{[]int64{1, 2, 3}, true},
-		{[]int64{0, 0, 2}, true}, // those without weights don't count
+		{[]int64{0, 0, 2}, true}, // endpoints without weights don't count
 		{[]int64{1, 1, 2}, false},
 	} {
 		list := &roster.List{Endpoints: map[string]*roster.Endpoint{}}
--- a/roster/vm.go
+++ b/roster/vm.go
@@ -2,8 +2,8 @@
 
 import "net"
 
-// VM returns the VM of an address: its host, or all of one without a port. The process
-// beside an endpoint may reach it by another port than callers do.
+// VM returns the host part of addr, which identifies the VM, or addr itself if it has no port.
+// A sidecar may use another port of its endpoint than callers do.
 func VM(addr string) string {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/routes/estimate.go
+++ b/routes/estimate.go
@@ -2,42 +2,41 @@
 
 import "time"
 
-// pass returns the time of one pass of a full batch: it makes Stride tokens of
+// passTime returns the duration of one pass over a full batch, which makes Stride tokens of
 // each request's answer.
-func (e *Engine) pass() time.Duration {
-	return time.Duration(e.Stride) * (e.Step + time.Duration(e.Slots)*e.PerRequest)
+func (e *Engine) passTime() time.Duration {
+	return time.Duration(e.Stride) * (e.StepTime + time.Duration(e.Slots)*e.StepTimePerRequest)
 }
 
-// AnswerTime returns how long a usual answer is written in a full batch that reads no
-// prompts meanwhile.
+// AnswerTime returns how long a mean answer takes to generate in a full batch without any
+// prefill.
 func (e *Engine) AnswerTime() time.Duration {
-	passes := e.UsualAnswer / float64(max(e.Stride, 1))
-	return time.Duration(passes * float64(e.pass()))
+	passes := e.MeanAnswerTokens / float64(max(e.Stride, 1))
+	return time.Duration(passes * float64(e.passTime()))
 }
 
-// Prefill returns how long a prompt of n tokens takes to be read, or 0 where that is
-// not known.
+// Prefill returns how long the prefill of n tokens takes, or 0 if the rate is unknown.
 func (e *Engine) Prefill(n float64) time.Duration {
-	if e.ReadPerSecond <= 0 {
+	if e.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(n / e.ReadPerSecond * float64(time.Second))
+	return time.Duration(n / e.PrefillTokensPerSecond * float64(time.Second))
 }
 
-// turnover returns the mean time between two ends of requests in a full batch.
-// While a request runs, as many others as there are slots begin, and each of
-// them is read between the tokens of the rest.
+// turnover returns the mean time between completions in a full batch. While a request runs,
+// as many others start as there are slots, and the prefill of each one pauses the running
+// requests.
 func (e *Engine) turnover() time.Duration {
 	slots := max(e.Slots, 1)
-	return e.AnswerTime()/time.Duration(slots) + e.Prefill(e.UsualPrompt)
+	return e.AnswerTime()/time.Duration(slots) + e.Prefill(e.MeanPromptTokens)
 }
 
-// QueueWithin returns how many requests may wait before a full batch so that
-// one more, with a prompt of n tokens, begins its answer within d.
-func (e *Engine) QueueWithin(d time.Duration, n int) float64 {
+// MaxQueue returns how many requests may be queued for a full batch so that one more, with a
+// prompt of n tokens, starts its answer within d.
+func (e *Engine) MaxQueue(d time.Duration, n int) float64 {
 	turnover := e.turnover()
 	if turnover <= 0 {
 		return 0
 	}
-	return max(0, float64(d-e.Prefill(float64(n))-e.pass())/float64(turnover))
+	return max(0, float64(d-e.Prefill(float64(n))-e.passTime())/float64(turnover))
 }
--- a/routes/estimate_test.go
+++ b/routes/estimate_test.go
@@ -11,11 +11,11 @@
 
 func TestTheQueueThatFitsIntoATime(t *testing.T) {
 	engine := routes.Engine{
-		Slots: 10, Step: 9 * time.Millisecond, PerRequest: 100 * time.Microsecond, Stride: 5,
-		ReadPerSecond: 20000, UsualPrompt: 1000, UsualAnswer: 100,
+		Slots: 10, StepTime: 9 * time.Millisecond, StepTimePerRequest: 100 * time.Microsecond, Stride: 5,
+		PrefillTokensPerSecond: 20000, MeanPromptTokens: 1000, MeanAnswerTokens: 100,
 	}
-	// A pass takes 50 ms, an answer 20 of them. So a request ends every 100 ms of
-	// writing and 50 ms of reading another's prompt.
+	// A pass takes 50 ms and an answer 20 passes, so with 10 slots a request completes every
+	// 150 ms: 100 ms of generation and 50 ms of prefill for another request.
 	for _, c := range []struct {
 		within time.Duration
 		prompt int
@@ -27,7 +27,7 @@
 		{100 * time.Millisecond, 1000, 0},
 		{10 * time.Millisecond, 1000, 0},
 	} {
-		NewWithT(t).Expect(engine.QueueWithin(c.within, c.prompt)).To(BeNumerically("~", c.want, 0.001))
+		NewWithT(t).Expect(engine.MaxQueue(c.within, c.prompt)).To(BeNumerically("~", c.want, 0.001))
 	}
-	NewWithT(t).Expect((&routes.Engine{}).QueueWithin(time.Second, 10)).To(BeZero(), "nothing is known")
+	NewWithT(t).Expect((&routes.Engine{}).MaxQueue(time.Second, 10)).To(BeZero(), "no engine parameters")
 }
--- a/routes/routes.go
+++ b/routes/routes.go
@@ -1,9 +1,9 @@
-// Package routes holds the configuration by which requests are routed: hosts and
-// path prefixes, the services behind them, client accounts and limits; and what
-// follows from a service's engines (estimate.go).
+// Package routes holds the routing configuration: hosts and path prefixes, the services behind
+// them, client accounts and limits. It also derives times and queue lengths from a service's
+// engine parameters (estimate.go).
 //
-// It owns nothing and relies on nothing: the platform's adapter builds a Config,
-// which does not change afterwards, so that any goroutine may read it.
+// The platform package builds a Config, which is immutable afterwards and safe for concurrent
+// use.
 package routes
 
 import (
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// Kind says how the requests of a route may be repeated.
+// Kind determines whether the requests of a route may be retried.
 type Kind int
 
-// The kinds of routes.
+// Kinds of routes.
 const (
-	// Unsafe requests run at most once.
+	// Unsafe requests must run at most once.
 	Unsafe Kind = iota
 	// Safe requests may run more than once.
 	Safe
@@ -26,41 +26,40 @@
 	Stream
 )
 
-// Target is a service that gets a share of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string
-	// Weight is the share, relative to the other targets' weights.
+	// Weight is the share relative to the weights of the other targets.
 	Weight int
 }
 
-// Route tells what becomes of requests for a host whose path begins with a prefix.
+// Route configures requests to a host whose path starts with a prefix.
 type Route struct {
 	Name, Host, Prefix string
 	Kind               Kind
-	// Timeout is the longest time that a request is held.
+	// Timeout is the longest time for which a request is held.
 	Timeout time.Duration
-	// LatencyTarget is the time within which an answer is in time; for streams, its
-	// first event.
+	// LatencyTarget is the time within which a response, or a stream's first event, is in time.
 	LatencyTarget time.Duration
-	// GapTarget is the longest pause between events of a stream in time.
+	// GapTarget is the longest pause between the events of a stream that is still in time.
 	GapTarget time.Duration
-	// Attempts is the largest number of endpoints that one request is sent to.
+	// Attempts is the maximum number of endpoints to which a request is sent.
 	Attempts int
 	// Priority ranks the route; 0 is the highest.
 	Priority int
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
-	// Resume says that a stream may go on at another endpoint.
+	// Resume is set if an interrupted stream may continue at another endpoint.
 	Resume  bool
 	Targets []Target
 }
 
-// Repeatable says whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || (r.Kind == Stream && r.Resume)
 }
 
-// Target returns the service for a draw from [0, 1).
+// Target returns the service selected by draw, a number in [0, 1).
 func (r *Route) Target(draw float64) string {
 	if len(r.Targets) == 0 {
 		return ""
@@ -79,29 +78,30 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Engine is what the configuration tells of a service's model engines.
+// Engine describes a service's model engines, as configured.
 type Engine struct {
-	// Slots is how many requests run in one batch.
+	// Slots is the number of requests in a full batch.
 	Slots int
-	// Step is the time of one token step, PerRequest what each request in the batch adds.
-	Step, PerRequest time.Duration
-	// Stride is how many steps are made between two looks at what waits.
+	// StepTime is the base time of one token step; each request in the batch adds
+	// StepTimePerRequest.
+	StepTime, StepTimePerRequest time.Duration
+	// Stride is the number of steps between two checks for queued requests.
 	Stride int
-	// ReadPerSecond is how many prompt tokens are read in a second.
-	ReadPerSecond float64
-	// UsualPrompt and UsualAnswer are mean numbers of tokens.
-	UsualPrompt, UsualAnswer float64
-	// Models are the names of the models that the engines run.
+	// PrefillTokensPerSecond is the prefill rate.
+	PrefillTokensPerSecond float64
+	// MeanPromptTokens and MeanAnswerTokens are the mean lengths of prompts and answers.
+	MeanPromptTokens, MeanAnswerTokens float64
+	// Models lists the models that the engines run.
 	Models []string
 }
 
-// Service is a group of endpoints that serve the same.
+// Service is a group of interchangeable endpoints.
 type Service struct {
-	// Engine is nil for a plain service.
+	// Engine is nil for services without model engines.
 	Engine *Engine
-	// Origin is the address of an origin of weights; empty for other services.
+	// Origin is the address of an origin of weights, or empty for other services.
 	Origin string
-	// LinkMbps is the bandwidth of an origin, in megabits a second.
+	// LinkMbps is the bandwidth of an origin's link, in megabits per second.
 	LinkMbps float64
 }
 
@@ -113,7 +113,7 @@
 	Ranked   bool
 }
 
-// Limits bound what a caller may send.
+// Limits bounds callers' requests and connections. A value of 0 means that none is configured.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
@@ -121,18 +121,19 @@
 
 // Config is one version of the configuration.
 type Config struct {
-	// Version is the operator's, Revision the store's number of it.
+	// Version is the operator's version number, Revision the store's revision.
 	Version, Revision int64
 	Services          map[string]*Service
 	Limits            Limits
 	hosts             map[string][]*Route
 	accounts          map[string]*Account
-	// longestTargets are the longest latency targets of streams, longestTimeouts the longest
-	// times for which they are held, by service.
+	// longestTargets and longestTimeouts hold the longest latency target and timeout of the
+	// streams that each service answers.
 	longestTargets, longestTimeouts map[string]time.Duration
 }
 
-// New returns a Config of routes and of accounts by key.
+// New returns a Config with the given routes, and accounts by key. With nil accounts, no
+// request needs a key.
 func New(list []*Route, accounts map[string]*Account) *Config {
 	c := &Config{
 		Services: map[string]*Service{}, hosts: map[string][]*Route{}, accounts: accounts,
@@ -154,7 +155,7 @@
 	return c
 }
 
-// Match returns the route for host and path, or nil. A port in host is ignored.
+// Match returns the route for host and path, or nil. It ignores a port in host.
 func (c *Config) Match(host, path string) *Route {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 {
 		host = host[:at]
@@ -167,31 +168,32 @@
 	return nil
 }
 
-// LongestTarget returns the longest latency target of the streams that a service answers.
+// LongestTarget returns the longest latency target of the streams that service answers.
 func (c *Config) LongestTarget(service string) time.Duration {
 	return c.longestTargets[service]
 }
 
-// AnswerTime returns how long an endpoint of a service usually writes an answer, as its
-// engine is described. Where that is not told, it is the longest for which a stream of the
-// service is held, which no answer outlasts; 0 where the service has no engine.
+// AnswerTime returns how long an endpoint of a service usually takes to generate an answer,
+// derived from its engine parameters. If these are not configured, it returns the longest
+// timeout of the service's streams, which bounds any answer. It returns 0 for services
+// without an engine.
 func (c *Config) AnswerTime(service string) time.Duration {
 	s := c.Services[service]
 	if s == nil || s.Engine == nil {
 		return 0
 	}
-	if told := s.Engine.AnswerTime(); told > 0 {
-		return told
+	if d := s.Engine.AnswerTime(); d > 0 {
+		return d
 	}
 	return c.longestTimeouts[service]
 }
 
-// Account returns the account that holds key, or nil.
+// Account returns the account that has key, or nil.
 func (c *Config) Account(key string) *Account {
 	return c.accounts[key]
 }
 
-// NeedsKeys says whether requests on routes that are not public must carry a key.
+// NeedsKeys reports whether requests on routes that are not public must carry a key.
 func (c *Config) NeedsKeys() bool {
 	return c.accounts != nil
 }
