--- a/gateway/advisory/advisory.go
+++ b/gateway/advisory/advisory.go
@@ -41,7 +41,7 @@
 
 // Record is the state of an endpoint's advisories as gateways share it.
 type Record struct {
-	Endpoint roster.Life
+	Endpoint roster.Incarnation
 	// Limit is the last declared limit, or Unlimited once the endpoint no longer declares one.
 	Limit Limit
 	// HeardAt is when a gateway last received Limit from the endpoint itself; zero if no
--- a/gateway/advisory/wire.go
+++ b/gateway/advisory/wire.go
@@ -34,7 +34,7 @@
 	var out []Record
 	for _, a := range received {
 		r := Record{
-			Endpoint:    roster.Life{ID: a.ID, Born: a.Born},
+			Endpoint:    roster.Incarnation{ID: a.ID, Born: a.Born},
 			Limit:       Unlimited{},
 			HeardAt:     timeFromAge(a.HeardMS, now),
 			ConfirmedAt: timeFromAge(a.ConfirmedMS, now),
--- a/gateway/endpoints/endpoints.go
+++ b/gateway/endpoints/endpoints.go
@@ -87,7 +87,7 @@
 	listed := len(list.Endpoints)
 	previous := l.current.Load()
 	l.keepLaterIncarnations(list, previous, now)
-	end := l.cfg.Retention.Fill(list, previous, now)
+	end := l.cfg.Retention.AddRetained(list, previous, now)
 	if kept := len(list.Endpoints) - listed; kept > 0 {
 		l.cfg.Log.Info("lapsed endpoints kept", "endpoints", kept, "forMs", end.Sub(now).Milliseconds(), "revision", list.Revision)
 		time.AfterFunc(end.Sub(now), l.Update)
@@ -137,7 +137,7 @@
 	}
 	for name, e := range list.Endpoints {
 		known := previous.Endpoints[name]
-		if known == nil || !e.Life().Before(known.Life()) {
+		if known == nil || !e.Incarnation().Before(known.Incarnation()) {
 			continue
 		}
 		remaining := l.decoded[name].readAt.Add(l.cfg.RecordTTL).Sub(now)
--- a/gateway/proxy/crash.go
+++ b/gateway/proxy/crash.go
@@ -21,7 +21,7 @@
 	refuses func(addr string) bool
 
 	mu     sync.Mutex
-	checks map[roster.Life]*crashCheck
+	checks map[roster.Incarnation]*crashCheck
 }
 
 // crashCheck is the check of one endpoint.
@@ -33,16 +33,16 @@
 }
 
 func newCrashDetector(refuses func(addr string) bool) *crashDetector {
-	return &crashDetector{refuses: refuses, checks: map[roster.Life]*crashCheck{}}
+	return &crashDetector{refuses: refuses, checks: map[roster.Incarnation]*crashCheck{}}
 }
 
 // hasCrashed reports whether an endpoint has crashed after a connection to it broke. Concurrent
 // callers share one check.
 func (d *crashDetector) hasCrashed(e *roster.Endpoint, now time.Time) bool {
-	check, first := d.lookup(e.Life(), now)
+	check, first := d.lookup(e.Incarnation(), now)
 	if first {
 		check.crashed = d.refuses(e.Addr)
-		d.discardUnlessCrashed(e.Life(), check)
+		d.discardUnlessCrashed(e.Incarnation(), check)
 		close(check.done)
 	}
 	<-check.done
@@ -51,7 +51,7 @@
 
 // discardUnlessCrashed removes the check from the cache if the endpoint is alive, because it may
 // crash at any moment.
-func (d *crashDetector) discardUnlessCrashed(l roster.Life, e *crashCheck) {
+func (d *crashDetector) discardUnlessCrashed(l roster.Incarnation, e *crashCheck) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !e.crashed && d.checks[l] == e {
@@ -61,7 +61,7 @@
 
 // lookup returns the check of an endpoint's life, and whether the caller created it and has to
 // perform it.
-func (d *crashDetector) lookup(l roster.Life, now time.Time) (*crashCheck, bool) {
+func (d *crashDetector) lookup(l roster.Incarnation, now time.Time) (*crashCheck, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for other, e := range d.checks {
@@ -87,5 +87,5 @@
 	}
 	a.outcome = balance.Unreachable
 	p.logEndpointCrash(c, a.lease)
-	p.cfg.Poison.RecordCrash(c.copies, a.lease.Record.Life(), time.Now())
+	p.cfg.Poison.RecordCrash(c.copies, a.lease.Record.Incarnation(), time.Now())
 }
--- a/gateway/tokens/tokens.go
+++ b/gateway/tokens/tokens.go
@@ -25,7 +25,7 @@
 	// Grant decides whether the named gateway may send the endpoint one request. opensIn is
 	// the time after which the request may be sent or, if it is not granted, after which to
 	// ask again.
-	Grant(gateway string, l roster.Life, now time.Time) (granted bool, opensIn time.Duration)
+	Grant(gateway string, l roster.Incarnation, now time.Time) (granted bool, opensIn time.Duration)
 }
 
 // Service grants tokens over net/rpc under ServiceName. It is safe for concurrent use.
@@ -39,7 +39,7 @@
 }
 
 // TakeRequest requests a token for the gateway named Gateway. Endpoint and Born identify the
-// incarnation of the endpoint, as in roster.Life.
+// incarnation of the endpoint, as in roster.Incarnation.
 type TakeRequest struct {
 	Gateway  string
 	Endpoint string
@@ -55,12 +55,12 @@
 
 // Take decides on a request for a token. It is called over net/rpc.
 func (s *Service) Take(q TakeRequest, reply *TakeReply) error {
-	reply.Granted, reply.OpensIn = s.granter.Grant(q.Gateway, roster.Life{ID: q.Endpoint, Born: q.Born}, time.Now())
+	reply.Granted, reply.OpensIn = s.granter.Grant(q.Gateway, roster.Incarnation{ID: q.Endpoint, Born: q.Born}, time.Now())
 	return nil
 }
 
 // Request requests a token from the gateway at addr on behalf of the gateway named self.
-func Request(ctx context.Context, pool *peerconn.Pool, addr, self string, l roster.Life) (*TakeReply, error) {
+func Request(ctx context.Context, pool *peerconn.Pool, addr, self string, l roster.Incarnation) (*TakeReply, error) {
 	reply := &TakeReply{}
 	if err := pool.Call(ctx, addr, methodTake, TakeRequest{Gateway: self, Endpoint: l.ID, Born: l.Born}, reply); err != nil {
 		return nil, err
--- a/gateway/upstream/conn.go
+++ b/gateway/upstream/conn.go
@@ -85,13 +85,13 @@
 	mu   sync.Mutex
 	idle []*conn
 	// owner is the endpoint at the address. It is zero before the first call to Client.Prune.
-	owner roster.Life
+	owner roster.Incarnation
 }
 
 // setOwner records which endpoint has the address and reports whether it is the same
 // incarnation as before. Connections to an endpoint that crashed without closing them look
 // usable until something is sent.
-func (p *idlePool) setOwner(owner roster.Life) bool {
+func (p *idlePool) setOwner(owner roster.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	same := p.owner.ID == "" || p.owner.Same(owner)
--- a/gateway/upstream/upstream.go
+++ b/gateway/upstream/upstream.go
@@ -70,7 +70,7 @@
 // endpoint, those to an endpoint that has restarted or been replaced by another one at its
 // address, and those idle for too long. endpoints maps addresses to the endpoints that have
 // them.
-func (c *Client) Prune(endpoints map[string]roster.Life, now time.Time) {
+func (c *Client) Prune(endpoints map[string]roster.Incarnation, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for addr, p := range c.pools {
