--- a/scripts/race-tests.sh
+++ b/scripts/race-tests.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Runs the tests of all packages but the sessions and swarm under the race detector, without
-# those that the argument, a regular expression, names. The detector's own runtime
+# those that the argument, a pattern for -skip, names. The detector's own runtime
 # sometimes dies in a bubble of virtual time ("CHECK failed" in tsan_rtl, or a fault
 # in its stack depot); that says nothing about the tests, and the package is run
 # again, five times at the most. A failed test or a reported race is final at once.
