--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -76,7 +76,7 @@
 			t.Cleanup(endpointServer.Close)
 			addr := strings.TrimPrefix(endpointServer.URL, "http://")
 			endpoint = standin.NewRunner(standin.RunnerConfig{ID: "e1", Service: "llm", Zone: "a", Address: addr, Model: "m", Slots: 4,
-				Witness: standin.NewWitness(), Store: store}, 1)
+				Recorder: standin.NewRecorder(), Store: store}, 1)
 			endpointServer.Config.Handler = endpoint
 			ip := fmt.Sprintf("127.%d.%d.7", 100+os.Getpid()%100, os.Getpid()/100%250)
 			s := sidecar.New(&platform.Settings{
--- a/soak/answers.go
+++ b/soak/answers.go
@@ -88,7 +88,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lifted = h.named(s.cfg.ID, limit)
-	s.runner.NameLimit(limit)
+	s.runner.SetRateLimit(limit)
 }
 
 // liftLimit ends that, if it names one.
@@ -100,19 +100,19 @@
 	}
 	s.lifted()
 	s.lifted = nil
-	s.runner.LiftLimit()
+	s.runner.ClearRateLimit()
 }
 
 // sayLeaving makes the runner say that it leaves.
 func (s *slot) sayLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.runner.SayLeaving()
+	s.runner.SetDrainingHeader()
 }
 
 // askRest makes the runner ask for rest, or ends that.
 func (s *slot) askRest(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.runner.AskRest(d)
+	s.runner.SetRetryAfter(d)
 }
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -121,7 +121,7 @@
 			return w.entries[i], addr, true
 		}
 	}
-	w.witness.Broken("the directory named %s, which is no entry", addr)
+	w.witness.AddViolation("the directory named %s, which is no entry", addr)
 	return nil, "", false
 }
 
@@ -153,9 +153,9 @@
 // checkStop looks at a request that was cut at a gateway that was asked to stop: nothing that
 // an endpoint goes on with may be cut by that.
 func (c *caller) checkStop(entry *process, id string, began, ended, limit time.Time, err error) {
-	run := c.world.witness.Of(id)
-	if ended.Before(limit) && entry.onlyPlanned(began) && c.world.calm(began) && run.Count > 0 && !run.EndpointEnded(ended) {
-		c.world.witness.Broken("request %s was cut by the planned stop of %s: %v", id, entry.name, err)
+	run := c.world.witness.Runs(id)
+	if ended.Before(limit) && entry.onlyPlanned(began) && c.world.calm(began) && run.Count > 0 && !run.AbortedByEndpoint(ended) {
+		c.world.witness.AddViolation("request %s was cut by the planned stop of %s: %v", id, entry.name, err)
 	}
 }
 
@@ -165,8 +165,8 @@
 	if e.Kept, e.Sent, whole = seen.result(); !whole {
 		return // no gateway can have read it whole
 	}
-	run := c.world.witness.Of(e.ID)
-	e.PassedOn, e.BrokenOff, e.Working = run.Count > 0, run.EndpointEnded(e.End), run.Working > 0
+	run := c.world.witness.Runs(e.ID)
+	e.PassedOn, e.BrokenOff, e.Working = run.Count > 0, run.AbortedByEndpoint(e.End), run.Running > 0
 	c.world.ledger.cutOff(e)
 }
 
@@ -175,7 +175,7 @@
 	w := c.world.witness
 	switch {
 	case resp.Header.Get(names.RequestID) != id:
-		w.Broken("request %s got an answer to %q", id, resp.Header.Get(names.RequestID))
+		w.AddViolation("request %s got an answer to %q", id, resp.Header.Get(names.RequestID))
 	case resp.StatusCode == http.StatusOK && stream:
 		return c.checkStream(resp, id)
 	case resp.StatusCode == http.StatusOK:
@@ -183,8 +183,8 @@
 		if err != nil {
 			return err
 		}
-		if string(got) != standin.Answer(id, body) {
-			w.Broken("request %s got %q", id, got)
+		if string(got) != standin.ResponseBody(id, body) {
+			w.AddViolation("request %s got %q", id, got)
 		}
 		c.result.Served.Add(1)
 	case resp.StatusCode == http.StatusServiceUnavailable:
@@ -195,7 +195,7 @@
 			c.mu.Unlock()
 		}
 	case resp.StatusCode == http.StatusUnauthorized || resp.StatusCode == http.StatusNotFound:
-		w.Broken("request %s was denied with %d", id, resp.StatusCode)
+		w.AddViolation("request %s was denied with %d", id, resp.StatusCode)
 	default:
 		c.result.Other.Add(1)
 		return c.checkFailure(resp, id)
@@ -208,7 +208,7 @@
 func (c *caller) checkFailure(resp *http.Response, id string) error {
 	body, err := io.ReadAll(resp.Body)
 	if strings.HasPrefix(string(body), string(policy.CodeQuarantined)) {
-		c.world.witness.Broken("request %s was taken for one that ends endpoints", id)
+		c.world.witness.AddViolation("request %s was taken for one that ends endpoints", id)
 	}
 	return err
 }
@@ -221,7 +221,7 @@
 		event, err := readEvent(reader)
 		if errors.Is(err, io.EOF) && event == "" {
 			if n != c.world.cfg.events()+1 {
-				c.world.witness.Broken("stream %s ended as whole after %d events", id, n-1)
+				c.world.witness.AddViolation("stream %s ended as whole after %d events", id, n-1)
 			}
 			c.result.Served.Add(1)
 			return nil
@@ -229,8 +229,8 @@
 		if err != nil {
 			return err
 		}
-		if event != standin.Event(id, n) {
-			c.world.witness.Broken("stream %s got %q as event %d", id, event, n)
+		if event != standin.FormatEvent(id, n) {
+			c.world.witness.AddViolation("stream %s got %q as event %d", id, event, n)
 			return nil
 		}
 	}
@@ -249,15 +249,15 @@
 
 // checkRuns looks at what endpoints saw of a request.
 func (c *caller) checkRuns(id, body string, stream bool) {
-	run := c.world.witness.Of(id)
+	run := c.world.witness.Runs(id)
 	if run.Count == 0 {
 		return
 	}
 	if !stream && run.Count > 1 {
-		c.world.witness.Broken("request %s ran %d times", id, run.Count)
+		c.world.witness.AddViolation("request %s ran %d times", id, run.Count)
 	}
 	if run.Body != body || run.Tenant != accountName {
-		c.world.witness.Broken("request %s ran as %q for %q", id, run.Body, run.Tenant)
+		c.world.witness.AddViolation("request %s ran as %q for %q", id, run.Body, run.Tenant)
 	}
 }
 
@@ -266,8 +266,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range c.refused {
-		if n := c.world.witness.Of(id).Count; n > 0 {
-			c.world.witness.Broken("request %s was refused and ran %d times", id, n)
+		if n := c.world.witness.Runs(id).Count; n > 0 {
+			c.world.witness.AddViolation("request %s was refused and ran %d times", id, n)
 		}
 	}
 }
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -134,11 +134,11 @@
 	}
 	report.LateSends = afterNews
 	if late > lateAllowed {
-		w.witness.Broken("a request under which %d endpoints had ended reached endpoints %d times more, %s after the third end; %d ended in all",
+		w.witness.AddViolation("a request under which %d endpoints had ended reached endpoints %d times more, %s after the third end; %d ended in all",
 			endsBefore, late, platformBounds.Contact, report.Ended)
 	}
 	if afterNews > 0 {
-		w.witness.Broken("a request under which %d endpoints had ended reached endpoints %d times more, %s after the third end",
+		w.witness.AddViolation("a request under which %d endpoints had ended reached endpoints %d times more, %s after the third end",
 			endsBefore, afterNews, newsLimit)
 	}
 }
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -44,7 +44,7 @@
 // ctx ends.
 func (w *world) heartbeats(ctx context.Context) {
 	for wait.For(ctx, heartbeatEvery) {
-		if !w.store.Answers() {
+		if !w.store.Available() {
 			continue
 		}
 		for _, s := range w.runners {
@@ -79,9 +79,9 @@
 		{"store link reset", func() { storeLink.Set(Link{Refuse: true}) }, heal(storeLink), false},
 		{"store link silent", func() { storeLink.Set(Link{SilentIn: true}) }, heal(storeLink), false},
 		w.storeOutage(chance.IntN(2) == 0),
-		{"store silent", storeFault(standin.StoreFault{Silent: true}), storeFault(standin.StoreFault{}), false},
-		{"store loses answers", storeFault(standin.StoreFault{LostAnswers: true}), storeFault(standin.StoreFault{}), false},
-		{"store forgets", w.store.Forget, nil, false},
+		{"store silent", storeFault(standin.StoreFault{Unresponsive: true}), storeFault(standin.StoreFault{}), false},
+		{"store loses answers", storeFault(standin.StoreFault{LoseResponses: true}), storeFault(standin.StoreFault{}), false},
+		{"store forgets", w.store.DropHistory, nil, false},
 		{"configuration", w.configure, nil, false},
 		{"new weights", w.nameVersion, nil, true},
 	}
@@ -98,7 +98,7 @@
 
 func (w *world) nameVersion() {
 	w.version++
-	w.store.NameVersion(model, w.version)
+	w.store.SetModelVersion(model, w.version)
 }
 
 // Pace of faults.
--- a/soak/process.go
+++ b/soak/process.go
@@ -187,14 +187,14 @@
 }
 
 // check notes what the process did that no program of ours may do.
-func (p *process) check(w *standin.Witness) {
+func (p *process) check(w *standin.Recorder) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.selfEnded > 0 {
-		w.Broken("%s ended by itself %d times", p.name, p.selfEnded)
+		w.AddViolation("%s ended by itself %d times", p.name, p.selfEnded)
 	}
-	if limit := standin.MemoryMB << 10; p.memory > limit {
-		w.Broken("%s held %d KB of the %d that it may", p.name, p.memory, limit)
+	if limit := standin.MemoryLimitMB << 10; p.memory > limit {
+		w.AddViolation("%s held %d KB of the %d that it may", p.name, p.memory, limit)
 	}
 }
 
--- a/soak/slot.go
+++ b/soak/slot.go
@@ -45,7 +45,7 @@
 	}
 	s.down = true
 	s.link.Set(Link{Gone: true})
-	s.runner.Cut()
+	s.runner.AbortStreams()
 	time.AfterFunc(d, func() {
 		s.restart(version)
 		s.mu.Lock()
@@ -72,14 +72,14 @@
 func (s *slot) stall(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.runner.Stall(d)
+	s.runner.StallStreams(d)
 }
 
 // lapse makes the platform forget the runner's record.
 func (s *slot) lapse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.runner.Lapse()
+	s.runner.ExpireRecord()
 }
 
 // announce makes the runner that is in the slot now write its record.
@@ -89,12 +89,12 @@
 	if s.down {
 		return
 	}
-	s.runner.Announce()
+	s.runner.Heartbeat()
 }
 
 // leave makes the runner state that it leaves.
 func (s *slot) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.runner.Leave()
+	s.runner.Drain()
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -66,20 +66,20 @@
 	result := &Result{}
 	w.play(result, report)
 	for _, line := range w.ledger.judge(w.history, platformBounds) {
-		w.witness.Broken("%s", line)
+		w.witness.AddViolation("%s", line)
 	}
 	for _, line := range w.heeded.judge(w.isHeld, platformBounds) {
-		w.witness.Broken("%s", line)
+		w.witness.AddViolation("%s", line)
 	}
 	w.fatal.judge(w, report)
 	if !w.awaitAll(healLimit) {
-		w.witness.Broken("not every entry serves every route %s after the last fault", healLimit)
+		w.witness.AddViolation("not every entry serves every route %s after the last fault", healLimit)
 	}
 	w.endAll()
 	report.MemoryKB = w.checkProcesses()
 	report.Asked, report.Served, report.Refused = result.Asked.Load(), result.Served.Load(), result.Refused.Load()
 	report.Cut, report.Others = result.Cut.Load(), result.Other.Load()
-	report.Broken = w.witness.Promises()
+	report.Broken = w.witness.Violations()
 	return report, nil
 }
 
--- a/soak/world.go
+++ b/soak/world.go
@@ -45,7 +45,7 @@
 	if c.Events > 0 {
 		return c.Events
 	}
-	return standin.Events
+	return standin.DefaultEvents
 }
 
 // callers returns how many callers there are.
@@ -73,7 +73,7 @@
 	cfg     Config
 	net     string
 	store   *standin.Store
-	witness *standin.Witness
+	witness *standin.Recorder
 	// storeLinks has a proxy before the store for each process, runnerLinks
 	// one before each runner.
 	storeLinks, runnerLinks []*Proxy
@@ -102,7 +102,7 @@
 func newWorld(cfg Config) (*world, error) {
 	w := &world{
 		cfg: cfg, net: fmt.Sprintf("127.%d.%d", 16+os.Getpid()%200, os.Getpid()/200%250), store: standin.NewStore(),
-		witness: standin.NewWitness(), version: 1, began: time.Now(), ledger: newLedger(), fatal: &fatal{}, heeded: newHeeded(),
+		witness: standin.NewRecorder(), version: 1, began: time.Now(), ledger: newLedger(), fatal: &fatal{}, heeded: newHeeded(),
 	}
 	if err := w.serve(w.addr(250, portStore), w.store); err != nil {
 		return nil, err
@@ -139,11 +139,11 @@
 func (w *world) addRunner(i int) error {
 	host := 100 + i
 	s := &slot{cfg: standin.RunnerConfig{
-		Service: plainService, Zone: zone(i), Address: w.addr(host, portRunner), Slots: 16, Witness: w.witness, Store: w.store,
-		Events: w.cfg.Events, EventPause: w.cfg.EventPause, LoadCuts: w.cfg.Mix == MixLong, Reached: w.heeded.reached, Rested: w.heeded.rested,
+		Service: plainService, Zone: zone(i), Address: w.addr(host, portRunner), Slots: 16, Recorder: w.witness, Store: w.store,
+		Events: w.cfg.Events, EventInterval: w.cfg.EventPause, AbortOnLoad: w.cfg.Mix == MixLong, OnRequest: w.heeded.reached, OnRetryAfter: w.heeded.rested,
 	}}
 	if w.cfg.Mix == MixCrash {
-		s.cfg.EndsUnder = func(id, body string) bool { return w.fatal.begins(s, id, body) }
+		s.cfg.CrashOn = func(id, body string) bool { return w.fatal.begins(s, id, body) }
 	}
 	if i > 0 {
 		s.cfg.Service, s.cfg.Model = modelService, model
@@ -166,19 +166,19 @@
 	if i == 0 {
 		return nil
 	}
-	return w.launch(&w.sidecars, "sidecar", i, host, standin.Machine{Endpoint: w.addr(host, portDirect), Service: modelService})
+	return w.launch(&w.sidecars, "sidecar", i, host, standin.ProcessSettings{Endpoint: w.addr(host, portDirect), Service: modelService})
 }
 
 func (w *world) addEntry(i int) error {
 	host := 1 + i
 	a := entryAddr{callers: w.addr(host, portCallers), directory: w.addr(host, portDirectory), ready: w.addr(host, portReady)}
 	w.entryAddrs = append(w.entryAddrs, a)
-	return w.launch(&w.entries, "gateway", i, host, standin.Machine{Callers: a.callers, Ready: a.ready, Directory: a.directory})
+	return w.launch(&w.entries, "gateway", i, host, standin.ProcessSettings{Callers: a.callers, Ready: a.ready, Directory: a.directory})
 }
 
 // launch writes the settings of a process and starts it behind its own link to
 // the store.
-func (w *world) launch(list *[]*process, role string, i, host int, m standin.Machine) error {
+func (w *world) launch(list *[]*process, role string, i, host int, m standin.ProcessSettings) error {
 	store := w.addr(host, portStore)
 	link, err := NewProxy(store, w.addr(250, portStore))
 	if err != nil {
@@ -188,14 +188,14 @@
 	name := fmt.Sprintf("%s-%d", role, i)
 	path := filepath.Join(w.cfg.Work, name+".yaml")
 	m.Name, m.Zone, m.IP, m.Ports, m.Store = name, zone(i), fmt.Sprintf("%s.%d", w.net, host), [2]int{portPeer, portPeer + 10}, store
-	if err := os.WriteFile(path, m.Settings(), 0o600); err != nil {
+	if err := os.WriteFile(path, m.File(), 0o600); err != nil {
 		return err
 	}
 	logs, err := os.Create(filepath.Join(w.cfg.Work, name+".log"))
 	if err != nil {
 		return err
 	}
-	p := newProcess(name, filepath.Join(w.cfg.Programs, "silverdeck-"+role), []string{standin.SettingsVariable + "=" + path}, logs)
+	p := newProcess(name, filepath.Join(w.cfg.Programs, "silverdeck-"+role), []string{standin.SettingsEnv + "=" + path}, logs)
 	if w.cfg.Previous != "" {
 		p.replacement = p.program
 		p.program = filepath.Join(w.cfg.Previous, "silverdeck-"+role)
--- a/standin/format.go
+++ b/standin/format.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// SettingsVariable names the environment variable with the path of the settings.
-const SettingsVariable = "SILVERDECK_CONFIG"
+// SettingsEnv is the environment variable that contains the path of the settings file.
+const SettingsEnv = "SILVERDECK_CONFIG"
 
-// Machine is what a process is told in its settings.
-type Machine struct {
+// ProcessSettings are the values in the settings file of a process.
+type ProcessSettings struct {
 	Name, Zone, IP string
 	Ports          [2]int
 	// Store is the address of the store.
 	Store string
-	// Callers, Ready and Directory are for entries.
+	// Callers, Ready and Directory are the listen addresses of a gateway for requests, for
+	// readiness checks and for its directory.
 	Callers, Ready, Directory string
-	// Endpoint and Service are for the process beside an endpoint.
+	// Endpoint and Service are the address and the service of the endpoint of a sidecar.
 	Endpoint, Service string
 }
 
-// MemoryMB is the memory that the settings grant a process, in megabytes.
-const MemoryMB = 200
+// MemoryLimitMB is the memory limit in the settings, in megabytes.
+const MemoryLimitMB = 200
 
 const settingsFormat = `node: %q
 zone: %q
@@ -37,22 +38,22 @@
 platform: {address: %q}
 `
 
-// Settings returns the machine's settings file.
-func (m *Machine) Settings() []byte {
-	return fmt.Appendf(nil, settingsFormat, m.Name, m.Zone, m.IP, m.Ports[0], m.Ports[1],
-		m.Callers, m.Ready, m.Directory, m.Endpoint, m.Service, MemoryMB, m.Store)
+// File returns the contents of the settings file.
+func (p *ProcessSettings) File() []byte {
+	return fmt.Appendf(nil, settingsFormat, p.Name, p.Zone, p.IP, p.Ports[0], p.Ports[1],
+		p.Callers, p.Ready, p.Directory, p.Endpoint, p.Service, MemoryLimitMB, p.Store)
 }
 
-// Route is a route of the stand-in's configuration.
+// Route is a route in a Configuration.
 type Route struct {
 	Name, Host, Service string
-	// Prefix is that of its paths; empty means RoutePrefix.
+	// Prefix is the path prefix of the route. The default is DefaultPathPrefix.
 	Prefix                 string
 	Stream                 bool
 	Timeout, LatencyTarget time.Duration
 }
 
-// Configuration is what the operator writes.
+// Configuration contains the values that vary in the operator's configuration.
 type Configuration struct {
 	Version                           int64
 	Routes                            []Route
@@ -61,47 +62,47 @@
 	Account, Key                      string
 }
 
-// RoutePrefix is the prefix of the paths of routes that name none.
-const RoutePrefix = "/go/"
+// DefaultPathPrefix is the path prefix of routes without a Prefix.
+const DefaultPathPrefix = "/go/"
 
-type fields = map[string]any
+type jsonObject = map[string]any
 
-// Configure writes a configuration.
+// Configure writes the operator's configuration, as the object "main" of the kind "config".
 func (s *Store) Configure(c Configuration) {
 	routes := []any{}
 	for _, r := range c.Routes {
-		routes = append(routes, r.fields())
+		routes = append(routes, r.spec())
 	}
-	s.Put("config", "main", fields{
+	s.Put("config", "main", jsonObject{
 		"version": c.Version,
 		"routes":  routes,
 		"services": []any{
-			fields{"name": c.ModelService, "max_connections": 200, "engine": fields{
+			jsonObject{"name": c.ModelService, "max_connections": 200, "engine": jsonObject{
 				"slots": 16, "read_per_s": 30000, "chunks": Chunks, "chunk_bytes": ChunkBytes,
-				"models": []any{fields{"name": c.Model, "warm_s": warmTime.Seconds()}}}},
-			fields{"name": c.PlainService, "max_connections": 200},
-			fields{"name": "weights", "origin": c.Origin, "link_mbps": 1000},
+				"models": []any{jsonObject{"name": c.Model, "warm_s": loadDuration.Seconds()}}}},
+			jsonObject{"name": c.PlainService, "max_connections": 200},
+			jsonObject{"name": "weights", "origin": c.Origin, "link_mbps": 1000},
 		},
-		"limits":  fields{"max_body_bytes": 1 << 16, "idle_timeout_ms": 15000},
-		"tenants": []any{fields{"name": c.Account, "api_keys": []string{c.Key}}},
+		"limits":  jsonObject{"max_body_bytes": 1 << 16, "idle_timeout_ms": 15000},
+		"tenants": []any{jsonObject{"name": c.Account, "api_keys": []string{c.Key}}},
 	})
 }
 
-func (r *Route) fields() fields {
+func (r *Route) spec() jsonObject {
 	kind := "unsafe"
 	if r.Stream {
 		kind = "streaming"
 	}
 	prefix := r.Prefix
 	if prefix == "" {
-		prefix = RoutePrefix
+		prefix = DefaultPathPrefix
 	}
-	return fields{"name": r.Name, "hostname": r.Host, "path_prefix": prefix, "kind": kind, "service": r.Service,
+	return jsonObject{"name": r.Name, "hostname": r.Host, "path_prefix": prefix, "kind": kind, "service": r.Service,
 		"timeout_ms": r.Timeout.Milliseconds(), "target_latency_ms": r.LatencyTarget.Milliseconds(), "gap_target_ms": 300,
 		"max_attempts": 2, "priority": 1, "stream_resume": r.Stream}
 }
 
-// NameVersion names new weights of a model.
-func (s *Store) NameVersion(model string, version int64) {
-	s.Put("versions", model, fields{"model": model, "version": version})
+// SetModelVersion writes the version of the weights that a model is to have.
+func (s *Store) SetModelVersion(model string, version int64) {
+	s.Put("versions", model, jsonObject{"model": model, "version": version})
 }
--- a/standin/order.go
+++ b/standin/order.go
@@ -9,67 +9,69 @@
 	"time"
 )
 
-// order is what an endpoint is told to do.
+// order is the body of a request to load or unload weights.
 type order struct {
-	Version  int64 `json:"version"`
+	Version int64 `json:"version"`
+	// Expected is the sequence for which the order was made.
 	Expected int64 `json:"expected_revision"`
-	// From and To, the layer after the last, are set where not all are meant.
+	// From and To are the first layer and the layer after the last. They are absent if the
+	// order is for all layers.
 	From *int `json:"from"`
 	To   *int `json:"target_version"`
 }
 
-// unloads returns whether the order leaves no layer.
-func (o *order) unloads() bool {
+// isUnload returns whether the range of layers is empty.
+func (o *order) isUnload() bool {
 	return o.From != nil && o.To != nil && *o.From >= *o.To
 }
 
-func (r *Runner) order(w http.ResponseWriter, q *http.Request) {
+func (r *Runner) handleOrder(w http.ResponseWriter, q *http.Request) {
 	var o order
 	if json.NewDecoder(q.Body).Decode(&o) != nil {
-		http.Error(w, "no order", http.StatusBadRequest)
+		http.Error(w, "invalid order", http.StatusBadRequest)
 		return
 	}
-	if !r.take(&o) {
-		http.Error(w, "another sequence", http.StatusConflict)
+	if !r.acceptOrder(&o) {
+		http.Error(w, "expected_revision does not match the sequence", http.StatusConflict)
 		return
 	}
 	w.WriteHeader(http.StatusAccepted)
-	if o.unloads() {
-		r.record()
+	if o.isUnload() {
+		r.writeRecord()
 		return
 	}
-	time.AfterFunc(warmTime, func() {
+	time.AfterFunc(loadDuration, func() {
 		r.mu.Lock()
 		r.version = o.Version
 		r.mu.Unlock()
-		r.record()
+		r.writeRecord()
 	})
 }
 
-// take begins an order, or returns false where it was given for another state.
-func (r *Runner) take(o *order) bool {
+// acceptOrder starts an order, or returns false if Expected is not the current sequence.
+func (r *Runner) acceptOrder(o *order) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if o.Expected != r.sequence {
 		return false
 	}
 	r.sequence++
-	if o.unloads() {
+	if o.isUnload() {
 		r.version = 0
 		return true
 	}
 	for i, data := range r.staged {
 		if !bytes.Equal(data, Chunk(o.Version, i)) {
-			r.cfg.Witness.Broken("runner %s was ordered to load version %d with chunk %d missing or spoilt", r.cfg.ID, o.Version, i)
+			r.cfg.Recorder.AddViolation("runner %s was ordered to load version %d with chunk %d missing or corrupt", r.cfg.ID, o.Version, i)
 		}
 	}
-	if r.cfg.LoadCuts {
-		r.cutStreams()
+	if r.cfg.AbortOnLoad {
+		r.abortStreamsLocked()
 	}
 	return true
 }
 
-func (r *Runner) stage(w http.ResponseWriter, q *http.Request) {
+func (r *Runner) handleStage(w http.ResponseWriter, q *http.Request) {
 	i, err := strconv.Atoi(q.URL.Query().Get("num"))
 	if err != nil || i < 0 || i >= Chunks {
 		http.Error(w, "no such chunk", http.StatusBadRequest)
--- /dev/null
+++ b/standin/recorder.go
@@ -0,0 +1,91 @@
+package standin
+
+import (
+	"fmt"
+	"sync"
+	"time"
+)
+
+// RequestRuns summarizes the executions of one request.
+type RequestRuns struct {
+	// Count is the number of executions that were started.
+	Count  int
+	Body   string
+	Tenant string
+	// Running is the number of executions in progress.
+	Running int
+	// Aborted is set if the execution that ended last was aborted by its endpoint.
+	Aborted bool
+	// AbortedAt is the time at which an endpoint last aborted an execution.
+	AbortedAt time.Time
+}
+
+// abortPropagationTime is the maximum time between an endpoint aborting an execution and the end
+// of the caller's connection for the two to be considered cause and effect.
+const abortPropagationTime = 100 * time.Millisecond
+
+// AbortedByEndpoint returns whether no execution is in progress and an endpoint aborted either
+// the last one or one right before end. In this case no gateway has abandoned an execution that
+// is still in progress.
+func (r *RequestRuns) AbortedByEndpoint(end time.Time) bool {
+	return r.Running == 0 && (r.Aborted || end.Sub(r.AbortedAt) < abortPropagationTime)
+}
+
+// Recorder records the executions of requests and the violations of guarantees. It is safe for
+// concurrent use.
+type Recorder struct {
+	mu         sync.Mutex
+	runs       map[string]RequestRuns
+	violations []string
+}
+
+// NewRecorder returns an empty Recorder.
+func NewRecorder() *Recorder {
+	return &Recorder{runs: map[string]RequestRuns{}}
+}
+
+// RunStarted records that an endpoint started to execute the request id.
+func (c *Recorder) RunStarted(id, body, tenant string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.runs[id]
+	r.Count++
+	r.Running++
+	r.Body, r.Tenant = body, tenant
+	c.runs[id] = r
+}
+
+// RunEnded records the end of an execution of the request id, and whether its endpoint aborted
+// it.
+func (c *Recorder) RunEnded(id string, aborted bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.runs[id]
+	r.Running--
+	r.Aborted = aborted
+	if aborted {
+		r.AbortedAt = time.Now()
+	}
+	c.runs[id] = r
+}
+
+// Runs returns the executions of the request id.
+func (c *Recorder) Runs(id string) RequestRuns {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.runs[id]
+}
+
+// AddViolation records the violation of a guarantee.
+func (c *Recorder) AddViolation(format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
+}
+
+// Violations returns the recorded violations.
+func (c *Recorder) Violations() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]string(nil), c.violations...)
+}
--- a/standin/runner.go
+++ b/standin/runner.go
@@ -9,111 +9,116 @@
 	"time"
 )
 
-// Events is how many events a stand-in's stream has where its settings don't say.
-const Events = 8
+// DefaultEvents is the default number of events of a stream.
+const DefaultEvents = 8
 
-// Timing of a stand-in runner.
+// Timing of a Runner.
 const (
-	// eventPause is the time between two events of a stream where the settings don't say.
-	eventPause = 20 * time.Millisecond
-	// workTime is how long a plain request takes.
-	workTime = 10 * time.Millisecond
-	// warmTime is how long a load takes.
-	warmTime = 50 * time.Millisecond
+	// defaultEventInterval is the default time between two events of a stream.
+	defaultEventInterval = 20 * time.Millisecond
+	// requestDuration is the time that a plain endpoint takes for a request.
+	requestDuration = 10 * time.Millisecond
+	// loadDuration is the time that loading weights takes.
+	loadDuration = 50 * time.Millisecond
 )
 
-// RunnerConfig holds a Runner's settings.
+// RunnerConfig configures a Runner.
 type RunnerConfig struct {
-	// ID names this life; Service and Zone stand in its record, with Address.
+	// ID identifies this instance of the endpoint. It is the name of its record, which
+	// contains Service, Zone and Address.
 	ID, Service, Zone, Address string
 	// Model is empty for a plain endpoint.
 	Model string
 	Slots int
-	// Events is how many events a stream has, EventPause the time between two; zero
-	// means a few and short.
-	Events     int
-	EventPause time.Duration
-	// LoadCuts is set when an order to load cuts the streams that run.
-	LoadCuts bool
-	// EndsUnder is asked when a run begins, and returns whether the runner ends under it;
-	// nil means that it never does. Whoever says so takes its connections away.
-	EndsUnder func(id, body string) bool
-	// Reached is told of each request that reaches it, by the runner's ID and its own; nil
-	// means that nobody is.
-	Reached func(runner, id string)
-	// Rested is told of each request that it refuses and asks for rest, in the same way.
-	Rested func(runner, id string, rest time.Duration)
-	// Witness is told of all that runs.
-	Witness *Witness
-	// Store takes the record.
+	// Events is the number of events of a stream, by default DefaultEvents, and EventInterval
+	// the time between two events, by default defaultEventInterval.
+	Events        int
+	EventInterval time.Duration
+	// AbortOnLoad makes an order to load weights abort the streams in progress.
+	AbortOnLoad bool
+	// CrashOn, if not nil, is called at the start of each execution and returns whether the
+	// request crashes the runner. A function that returns true must also close the runner's
+	// connections.
+	CrashOn func(id, body string) bool
+	// OnRequest, if not nil, is called for each received request with the IDs of the runner and
+	// of the request.
+	OnRequest func(runner, id string)
+	// OnRetryAfter is called for each request that is refused with Retry-After. It is required
+	// if SetRetryAfter is used.
+	OnRetryAfter func(runner, id string, delay time.Duration)
+	// Recorder records all executions.
+	Recorder *Recorder
+	// Store is the store to which the runner writes its record.
 	Store *Store
 }
 
-// Runner is a stand-in of an endpoint. It is safe for concurrent use.
+// Runner is a fake endpoint. It is safe for concurrent use.
 type Runner struct {
 	cfg RunnerConfig
 
-	mu       sync.Mutex
-	version  int64
+	mu sync.Mutex
+	// version is the loaded version of the model, or 0 if none is loaded.
+	version int64
+	// sequence is the number of accepted orders.
 	sequence int64
 	staged   [Chunks][]byte
 	running  int
-	leaving  bool
-	advice   advice
-	// stalledUntil is until when no stream gets an event.
+	draining bool
+	advisory advisory
+	// stalledUntil is the time until which streams get no events.
 	stalledUntil time.Time
-	// cut is closed when the streams that run now are cut.
-	cut chan struct{}
+	// aborted is closed to abort the streams in progress, and then replaced.
+	aborted chan struct{}
 }
 
-// NewRunner returns a Runner that holds a version of its model, 0 for none, and
-// records it in the store.
+// NewRunner returns a Runner that has loaded a version of its model, or none if version is 0, and
+// writes its record to the store.
 func NewRunner(cfg RunnerConfig, version int64) *Runner {
 	if cfg.Events == 0 {
-		cfg.Events = Events
+		cfg.Events = DefaultEvents
 	}
-	if cfg.EventPause == 0 {
-		cfg.EventPause = eventPause
+	if cfg.EventInterval == 0 {
+		cfg.EventInterval = defaultEventInterval
 	}
-	r := &Runner{cfg: cfg, version: version, cut: make(chan struct{})}
-	r.record()
+	r := &Runner{cfg: cfg, version: version, aborted: make(chan struct{})}
+	r.writeRecord()
 	return r
 }
 
-// Leave states that the runner leaves.
-func (r *Runner) Leave() {
+// Drain sets the state in the runner's record to draining.
+func (r *Runner) Drain() {
 	r.mu.Lock()
-	r.leaving = true
+	r.draining = true
 	r.mu.Unlock()
-	r.record()
+	r.writeRecord()
 }
 
-// Lapse removes the runner's record, as the platform does with one whose
-// heartbeats fail.
-func (r *Runner) Lapse() {
+// ExpireRecord deletes the runner's record, as the platform does with the records of endpoints
+// whose heartbeats fail.
+func (r *Runner) ExpireRecord() {
 	r.cfg.Store.Delete("servers", r.cfg.ID)
 }
 
-// Announce writes the runner's record anew, as the next heartbeat does.
-func (r *Runner) Announce() {
-	r.record()
+// Heartbeat writes the runner's record. It restores a record that has expired.
+func (r *Runner) Heartbeat() {
+	r.writeRecord()
 }
 
-// record writes the runner's record.
-func (r *Runner) record() {
+func (r *Runner) writeRecord() {
 	r.mu.Lock()
 	state := "ready"
-	if r.leaving {
+	if r.draining {
 		state = "draining"
 	}
 	spec := map[string]any{"service": r.cfg.Service, "address": r.cfg.Address, "zone": r.cfg.Zone, "slots": r.cfg.Slots,
-		"state": state, "models": r.models()}
+		"state": state, "models": r.loadedModels()}
 	r.mu.Unlock()
 	r.cfg.Store.Put("servers", r.cfg.ID, spec)
 }
 
-// models returns what the runner tells of its model. The caller holds the lock.
-func (r *Runner) models() []any {
+// loadedModels returns the loaded model and its version in the format of records and reports.
+// The caller holds r.mu.
+func (r *Runner) loadedModels() []any {
 	if r.cfg.Model == "" || r.version == 0 {
 		return []any{}
 	}
@@ -124,83 +129,86 @@
 func (r *Runner) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	switch {
 	case q.URL.Path == "/report":
-		r.report(w)
+		r.handleReport(w)
 	case q.URL.Path == "/order":
-		r.order(w, q)
+		r.handleOrder(w, q)
 	case strings.HasPrefix(q.URL.Path, "/stage-"):
-		r.stage(w, q)
+		r.handleStage(w, q)
 	default:
-		r.serve(w, q)
+		r.handleRequest(w, q)
 	}
 }
 
-func (r *Runner) report(w http.ResponseWriter) {
+func (r *Runner) handleReport(w http.ResponseWriter) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	answer(w, http.StatusOK, map[string]any{"models": r.models(), "busy": false, "sequence": r.sequence, "running": r.running})
+	writeJSON(w, http.StatusOK, map[string]any{"models": r.loadedModels(), "busy": false, "sequence": r.sequence, "running": r.running})
 }
 
-// serve runs a request, unless it is for another endpoint or there is no slot.
-func (r *Runner) serve(w http.ResponseWriter, q *http.Request) {
+// handleRequest executes a request, unless it is for another endpoint or there is no slot.
+func (r *Runner) handleRequest(w http.ResponseWriter, q *http.Request) {
 	id := q.Header.Get("X-Silverdeck-Attempt-Id")
 	body, err := io.ReadAll(q.Body)
 	if err != nil {
 		return
 	}
-	if r.refuses(w, q, id) {
+	if r.refuse(w, q, id) {
 		return
 	}
-	defer r.leave()
+	defer r.releaseSlot()
 	r.run(w, q, id, body)
 }
 
-// refuses answers a request that is for another endpoint, or that it does not take, and returns
-// whether it did. One that it takes has a slot.
-func (r *Runner) refuses(w http.ResponseWriter, q *http.Request, id string) bool {
+// refuse responds with an error to a request that is for another endpoint, that the runner delays
+// with Retry-After or for which it has no slot, and returns true. Otherwise it acquires a slot for
+// the request and returns false.
+func (r *Runner) refuse(w http.ResponseWriter, q *http.Request, id string) bool {
 	w.Header().Set("X-Silverdeck-Attempt-Id", id)
-	if r.cfg.Reached != nil {
-		r.cfg.Reached(r.cfg.ID, id)
+	if r.cfg.OnRequest != nil {
+		r.cfg.OnRequest(r.cfg.ID, id)
 	}
-	r.advise(w.Header())
+	r.setAdvisoryHeaders(w.Header())
 	if want := q.Header.Get("X-Silverdeck-Expect-Instance"); want != "" && want != r.cfg.ID {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return true
 	}
-	rest := r.wantsRest()
-	if rest == 0 && r.enter() {
+	retryAfter := r.nextRetryAfter()
+	if retryAfter == 0 && r.acquireSlot() {
 		return false
 	}
-	if rest > 0 {
-		r.cfg.Rested(r.cfg.ID, id, rest)
-		w.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', 3, 64))
+	if retryAfter > 0 {
+		r.cfg.OnRetryAfter(r.cfg.ID, id, retryAfter)
+		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
 	w.Header().Set("X-Silverdeck-Not-Executed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 	return true
 }
 
-// run runs a request that has a slot.
+// run executes a request that has a slot.
 func (r *Runner) run(w http.ResponseWriter, q *http.Request, id string, body []byte) {
-	r.cfg.Witness.Ran(id, string(body), q.Header.Get("X-Silverdeck-Tenant"))
-	brokenOff := false
-	defer func() { r.cfg.Witness.Ended(id, brokenOff) }()
-	if r.cfg.EndsUnder != nil && r.cfg.EndsUnder(id, string(body)) {
-		brokenOff = true
+	r.cfg.Recorder.RunStarted(id, string(body), q.Header.Get("X-Silverdeck-Tenant"))
+	aborted := false
+	defer func() { r.cfg.Recorder.RunEnded(id, aborted) }()
+	if r.cfg.CrashOn != nil && r.cfg.CrashOn(id, string(body)) {
+		aborted = true
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("X-Silverdeck-Response-Stamp", r.cfg.ID)
 	if r.cfg.Model == "" {
-		time.Sleep(workTime)
-		_, _ = io.WriteString(w, Answer(id, string(body)))
+		time.Sleep(requestDuration)
+		_, _ = io.WriteString(w, ResponseBody(id, string(body)))
 		return
 	}
-	brokenOff = !r.stream(w, q, id)
-	if brokenOff {
+	aborted = !r.writeStream(w, q, id)
+	if aborted {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (r *Runner) enter() bool {
+// acquireSlot returns false if twice as many requests as there are slots run already, or if the
+// model is not loaded.
+func (r *Runner) acquireSlot() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.running >= 2*r.cfg.Slots || (r.cfg.Model != "" && r.version == 0) {
@@ -210,7 +218,7 @@
 	return true
 }
 
-func (r *Runner) leave() {
+func (r *Runner) releaseSlot() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.running--
--- a/standin/store.go
+++ b/standin/store.go
@@ -1,6 +1,6 @@
-// Package standin has small stand-ins that speak the protocol of the users'
-// platform: its object store, model and plain endpoints and an origin of
-// weights. They are for tests and for the fault soak.
+// Package standin implements fakes of the users' platform for tests and for the soak test: its
+// object store, model endpoints, plain endpoints and the weights origin. They implement the
+// platform's protocol over HTTP.
 package standin
 
 import (
@@ -14,26 +14,28 @@
 	"time"
 )
 
-// Store is a stand-in of the platform's object store. It is safe for
-// concurrent use.
+// Store is an in-memory fake of the platform's object store. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	revision int64
-	kinds    map[string]map[string]stored
-	events   []change
-	oldest   int64
-	changed  chan struct{}
-	fault    StoreFault
+	// objects contains the objects by kind and name.
+	objects map[string]map[string]storedObject
+	history []change
+	// compactedAt is the revision up to which the history was dropped.
+	compactedAt int64
+	// changed is closed at the next change.
+	changed chan struct{}
+	fault   StoreFault
 }
 
-// StoreFault is how the store misbehaves.
+// StoreFault describes how the store fails.
 type StoreFault struct {
-	// Status is the answer to every call, if it is not 0.
+	// Status, if not 0, is the status of every response.
 	Status int
-	// Silent makes calls wait until their caller gives up.
-	Silent bool
-	// LostAnswers makes writes be done and their connections be closed.
-	LostAnswers bool
+	// Unresponsive makes calls hang until the client cancels them.
+	Unresponsive bool
+	// LoseResponses makes the store close the connection of each write after applying it.
+	LoseResponses bool
 }
 
 type metadata struct {
@@ -41,45 +43,46 @@
 	Revision int64  `json:"revision"`
 }
 
-type stored struct {
+type storedObject struct {
 	Metadata metadata        `json:"metadata"`
 	Spec     json.RawMessage `json:"spec"`
 }
 
 type change struct {
-	kind   string
-	object stored
-	gone   bool
+	kind    string
+	object  storedObject
+	deleted bool
 }
 
 // NewStore returns an empty Store.
 func NewStore() *Store {
-	return &Store{kinds: map[string]map[string]stored{}, changed: make(chan struct{})}
+	return &Store{objects: map[string]map[string]storedObject{}, changed: make(chan struct{})}
 }
 
-// SetFault changes how the store misbehaves.
+// SetFault sets the fault of the store. The zero value makes it work again.
 func (s *Store) SetFault(f StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Answers returns whether the store takes calls now.
-func (s *Store) Answers() bool {
+// Available returns whether no fault makes every call fail.
+func (s *Store) Available() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fault.Status == 0 && !s.fault.Silent
+	return s.fault.Status == 0 && !s.fault.Unresponsive
 }
 
-// Forget drops the history of changes.
-func (s *Store) Forget() {
+// DropHistory discards the history of changes, so that watches from an earlier revision fail.
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.oldest = s.revision
-	s.events = nil
+	s.compactedAt = s.revision
+	s.history = nil
 }
 
-// Put writes an object and returns its revision, as the operator and endpoints do.
+// Put writes an object, as the operator and endpoints do, and returns its revision. The revision
+// does not change if the object has the same spec already.
 func (s *Store) Put(kind, name string, spec any) int64 {
 	data, _ := json.Marshal(spec)
 	s.mu.Lock()
@@ -87,41 +90,43 @@
 	return s.put(kind, name, data).Metadata.Revision
 }
 
-// Delete removes an object.
+// Delete deletes an object, if it exists.
 func (s *Store) Delete(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(kind, name)
 }
 
-func (s *Store) put(kind, name string, spec json.RawMessage) stored {
-	if old, found := s.kinds[kind][name]; found && string(old.Spec) == string(spec) {
+// put writes an object and returns it. The caller holds s.mu.
+func (s *Store) put(kind, name string, spec json.RawMessage) storedObject {
+	if old, found := s.objects[kind][name]; found && string(old.Spec) == string(spec) {
 		return old
 	}
 	s.revision++
-	o := stored{Metadata: metadata{Name: name, Revision: s.revision}, Spec: spec}
-	if s.kinds[kind] == nil {
-		s.kinds[kind] = map[string]stored{}
+	o := storedObject{Metadata: metadata{Name: name, Revision: s.revision}, Spec: spec}
+	if s.objects[kind] == nil {
+		s.objects[kind] = map[string]storedObject{}
 	}
-	s.kinds[kind][name] = o
-	s.note(change{kind: kind, object: o})
+	s.objects[kind][name] = o
+	s.addChange(change{kind: kind, object: o})
 	return o
 }
 
+// remove deletes an object and returns whether it existed. The caller holds s.mu.
 func (s *Store) remove(kind, name string) bool {
-	o, found := s.kinds[kind][name]
+	o, found := s.objects[kind][name]
 	if !found {
 		return false
 	}
 	s.revision++
 	o.Metadata.Revision = s.revision
-	delete(s.kinds[kind], name)
-	s.note(change{kind: kind, object: o, gone: true})
+	delete(s.objects[kind], name)
+	s.addChange(change{kind: kind, object: o, deleted: true})
 	return true
 }
 
-func (s *Store) note(c change) {
-	s.events = append(s.events, c)
+func (s *Store) addChange(c change) {
+	s.history = append(s.history, c)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -133,7 +138,7 @@
 	fault := s.fault
 	s.mu.Unlock()
 	switch {
-	case fault.Silent:
+	case fault.Unresponsive:
 		<-r.Context().Done()
 	case fault.Status != 0:
 		http.Error(w, "fault", fault.Status)
@@ -143,7 +148,7 @@
 		s.list(w, kind)
 	default:
 		s.write(w, r, kind, name)
-		if fault.LostAnswers {
+		if fault.LoseResponses {
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -151,41 +156,43 @@
 
 func (s *Store) list(w http.ResponseWriter, kind string) {
 	s.mu.Lock()
-	items := make([]stored, 0, len(s.kinds[kind]))
-	for _, o := range s.kinds[kind] {
+	items := make([]storedObject, 0, len(s.objects[kind]))
+	for _, o := range s.objects[kind] {
 		items = append(items, o)
 	}
 	at := s.revision
 	s.mu.Unlock()
 	sort.Slice(items, func(i, j int) bool { return items[i].Metadata.Name < items[j].Metadata.Name })
-	answer(w, http.StatusOK, struct {
-		Items []stored `json:"items"`
-		More  bool     `json:"more"`
-		At    int64    `json:"at"`
+	writeJSON(w, http.StatusOK, struct {
+		Items []storedObject `json:"items"`
+		More  bool           `json:"more"`
+		At    int64          `json:"at"`
 	}{items, false, at})
 }
 
 type event struct {
-	Gone   bool   `json:"gone"`
-	Object stored `json:"object"`
+	Deleted bool         `json:"gone"`
+	Object  storedObject `json:"object"`
 }
 
+// watch responds with the changes after a revision. If there are none, it waits for the next or
+// until wait_ms have passed.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, kind string) {
-	from, _ := strconv.ParseInt(r.URL.Query().Get("watch"), 10, 64)
-	hold, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	end := time.NewTimer(time.Duration(hold) * time.Millisecond)
-	defer end.Stop()
-	for over := false; ; {
+	since, _ := strconv.ParseInt(r.URL.Query().Get("watch"), 10, 64)
+	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
+	timeout := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
+	defer timeout.Stop()
+	for timedOut := false; ; {
 		s.mu.Lock()
-		gone, at, changed := from < s.oldest, s.revision, s.changed
-		events := s.since(kind, from)
+		dropped, at, changed := since < s.compactedAt, s.revision, s.changed
+		events := s.eventsSince(kind, since)
 		s.mu.Unlock()
-		if gone {
-			http.Error(w, "history gone", http.StatusGone)
+		if dropped {
+			http.Error(w, "history was dropped", http.StatusGone)
 			return
 		}
-		if len(events) > 0 || over {
-			answer(w, http.StatusOK, struct {
+		if len(events) > 0 || timedOut {
+			writeJSON(w, http.StatusOK, struct {
 				Events []event `json:"events"`
 				At     int64   `json:"at"`
 			}{events, at})
@@ -193,20 +200,20 @@
 		}
 		select {
 		case <-changed:
-		case <-end.C:
-			over = true
+		case <-timeout.C:
+			timedOut = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// since returns the changes of kind after a revision. The caller holds the lock.
-func (s *Store) since(kind string, from int64) []event {
+// eventsSince returns the changes of a kind after a revision. The caller holds s.mu.
+func (s *Store) eventsSince(kind string, revision int64) []event {
 	out := []event{}
-	for _, c := range s.events {
-		if c.kind == kind && c.object.Metadata.Revision > from {
-			out = append(out, event{Gone: c.gone, Object: c.object})
+	for _, c := range s.history {
+		if c.kind == kind && c.object.Metadata.Revision > revision {
+			out = append(out, event{Deleted: c.deleted, Object: c.object})
 		}
 	}
 	return out
@@ -217,22 +224,22 @@
 	if err != nil {
 		return
 	}
-	var o stored
+	var o storedObject
 	if r.Method != http.MethodDelete && json.Unmarshal(data, &o) != nil {
-		http.Error(w, "not an object", http.StatusBadRequest)
+		http.Error(w, "invalid object", http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch r.Method {
 	case http.MethodPost:
-		if old, found := s.kinds[kind][o.Metadata.Name]; found {
-			answer(w, http.StatusConflict, old)
+		if old, found := s.objects[kind][o.Metadata.Name]; found {
+			writeJSON(w, http.StatusConflict, old)
 			return
 		}
-		answer(w, http.StatusCreated, s.put(kind, o.Metadata.Name, o.Spec))
+		writeJSON(w, http.StatusCreated, s.put(kind, o.Metadata.Name, o.Spec))
 	case http.MethodPut:
-		answer(w, http.StatusOK, s.put(kind, name, o.Spec))
+		writeJSON(w, http.StatusOK, s.put(kind, name, o.Spec))
 	case http.MethodDelete:
 		if !s.remove(kind, name) {
 			http.NotFound(w, r)
@@ -240,7 +247,7 @@
 	}
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -8,49 +8,49 @@
 	"time"
 )
 
-// Stall keeps all streams without an event for d, as an engine does that reads long
-// prompts or whose VM stands still.
-func (r *Runner) Stall(d time.Duration) {
+// StallStreams withholds the events of all streams for d, like an engine that processes long
+// prompts or whose VM is paused.
+func (r *Runner) StallStreams(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stalledUntil = time.Now().Add(d)
 }
 
-// Cut cuts all streams that run, as an engine does that crashes.
-func (r *Runner) Cut() {
+// AbortStreams aborts all streams in progress, like an engine that crashes.
+func (r *Runner) AbortStreams() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cutStreams()
+	r.abortStreamsLocked()
 }
 
-// cutStreams cuts all streams that run. The caller holds the lock.
-func (r *Runner) cutStreams() {
-	close(r.cut)
-	r.cut = make(chan struct{})
+// abortStreamsLocked aborts all streams in progress. The caller holds r.mu.
+func (r *Runner) abortStreamsLocked() {
+	close(r.aborted)
+	r.aborted = make(chan struct{})
 }
 
-// Answer returns the body of a plain answer.
-func Answer(id, body string) string {
+// ResponseBody returns the response body of a plain endpoint.
+func ResponseBody(id, body string) string {
 	return "answer to " + id + ": " + body
 }
 
-// Event returns an event of a stream.
-func Event(id string, n int) string {
+// FormatEvent returns event n of a stream in the format of server-sent events.
+func FormatEvent(id string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: %s/%d\n\n", n, id, n)
 }
 
-// stream answers with events and returns false when it was cut.
-func (r *Runner) stream(w http.ResponseWriter, q *http.Request, id string) bool {
+// writeStream writes the events after Last-Event-Id. It returns false if the stream was aborted.
+func (r *Runner) writeStream(w http.ResponseWriter, q *http.Request, id string) bool {
 	r.mu.Lock()
-	cut := r.cut
+	aborted := r.aborted
 	r.mu.Unlock()
 	first, _ := strconv.Atoi(q.Header.Get("Last-Event-Id"))
 	w.Header().Set("Content-Type", "text/event-stream")
 	for n := first + 1; n <= r.cfg.Events; n++ {
-		if !r.awaitEvent(cut) {
+		if !r.waitForEvent(aborted) {
 			return false
 		}
-		if _, err := io.WriteString(w, Event(id, n)); err != nil {
+		if _, err := io.WriteString(w, FormatEvent(id, n)); err != nil {
 			return true
 		}
 		if http.NewResponseController(w).Flush() != nil || q.Context().Err() != nil {
@@ -60,11 +60,11 @@
 	return true
 }
 
-// awaitEvent waits until the next event is there, or returns false when cut closes.
-func (r *Runner) awaitEvent(cut <-chan struct{}) bool {
-	for pause := r.cfg.EventPause; pause > 0; pause = r.stall() {
+// waitForEvent waits until the next event is due. It returns false if aborted is closed first.
+func (r *Runner) waitForEvent(aborted <-chan struct{}) bool {
+	for pause := r.cfg.EventInterval; pause > 0; pause = r.stallRemaining() {
 		select {
-		case <-cut:
+		case <-aborted:
 			return false
 		case <-time.After(pause):
 		}
@@ -72,8 +72,9 @@
 	return true
 }
 
-// stall returns for how long streams get nothing yet.
-func (r *Runner) stall() time.Duration {
+// stallRemaining returns the time until streams continue. It is not positive if they are not
+// stalled.
+func (r *Runner) stallRemaining() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Until(r.stalledUntil)
