--- a/gateway/balance/choice.go
+++ b/gateway/balance/choice.go
@@ -83,6 +83,7 @@
 	TokenFrom roster.Incarnation
 }
 
+// Error implements error.
 func (e *FullError) Error() string {
 	return fmt.Sprintf("balance: all endpoints of %s are full", e.Service)
 }
@@ -95,6 +96,7 @@
 	Loading bool
 }
 
+// Error implements error.
 func (e *NoEndpointError) Error() string {
 	return fmt.Sprintf("balance: no endpoint of %s", e.Service)
 }
--- a/mirror/source.go
+++ b/mirror/source.go
@@ -38,6 +38,7 @@
 	Revision int64
 }
 
+// Error implements error.
 func (e *HistoryGoneError) Error() string {
 	return fmt.Sprintf("mirror: the store no longer has the changes after revision %d", e.Revision)
 }
--- a/swarm/config.go
+++ b/swarm/config.go
@@ -116,17 +116,21 @@
 // little more than one copy.
 const DefaultCopies = 1.25
 
-// Defaults of Config, as a set measured by standalone/bench/burst.
+// Defaults of Config. They depend on each other: change them together.
 const (
-	defaultDegree     = 10
-	defaultParallel   = 8
+	// defaultDegree is the number of neighbours that a member requests chunks from.
+	defaultDegree = 10
+	// defaultParallel is the number of chunks that are fetched concurrently.
+	defaultParallel = 8
+	// defaultMinTimeout is the minimum time after which a chunk counts as stalled.
 	defaultMinTimeout = 500 * time.Millisecond
 )
 
 // Derivation of the takeover delay from the origin budget.
 const (
-	// minTakeoverDelay and maxTakeoverDelay bound the derived delay.
+	// minTakeoverDelay is the lower bound of the derived delay.
 	minTakeoverDelay = 250 * time.Millisecond
+	// maxTakeoverDelay is its upper bound.
 	maxTakeoverDelay = 15 * time.Second
 	// defaultTakeoverDelay replaces an eighth of the time of one copy if the origin's rate is
 	// unknown.
--- a/swarm/transport.go
+++ b/swarm/transport.go
@@ -44,6 +44,7 @@
 	Refusal Refusal
 }
 
+// Error implements error.
 func (e *RefusalError) Error() string {
 	switch e.Refusal {
 	case RefusalAbsent:
