--- a/gateway/advice.go
+++ b/gateway/advice.go
@@ -55,7 +55,7 @@
 	return live
 }
 
-// requestToken implements proxy.Config.AskToken. It reports whether a token was granted for
+// requestToken implements proxy.Config.RequestToken. It reports whether a token was granted for
 // immediate use; a token that becomes valid later is left for later requests.
 func (g *Gateway) requestToken(ctx context.Context, l roster.Incarnation) bool {
 	list := g.endpoints.Current()
--- a/gateway/balance/advisory.go
+++ b/gateway/balance/advisory.go
@@ -64,8 +64,8 @@
 
 // removedEndpoint is the advisory state of an endpoint without a record.
 type removedEndpoint struct {
-	life     roster.Incarnation
-	advisory *advisoryState
+	incarnation roster.Incarnation
+	advisory    *advisoryState
 	// since is when the endpoint was first found to be removed, or zero.
 	since time.Time
 }
@@ -75,14 +75,14 @@
 	if s.removed == nil {
 		s.removed = map[string]*removedEndpoint{}
 	}
-	s.removed[e.record.ID] = &removedEndpoint{life: e.record.Incarnation(), advisory: e.advisory}
+	s.removed[e.record.ID] = &removedEndpoint{incarnation: e.record.Incarnation(), advisory: e.advisory}
 }
 
 // newEndpoint returns a new endpoint for r, with its retained advisory state if there is
 // any. The lock must be held.
 func (s *shard) newEndpoint(r *roster.Endpoint) *endpoint {
 	e := &endpoint{record: r, advisory: &advisoryState{}}
-	if old := s.removed[r.ID]; old != nil && old.life.Same(r.Incarnation()) {
+	if old := s.removed[r.ID]; old != nil && old.incarnation.Same(r.Incarnation()) {
 		e.advisory = old.advisory
 	}
 	delete(s.removed, r.ID)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -187,7 +187,7 @@
 		NewestVersion:   g.versions.Latest,
 		WeightsDeadline: g.versions.Deadline,
 		ReadAdvisory:    platform.ReadAdvisory,
-		AskToken:        g.requestToken,
+		RequestToken:    g.requestToken,
 
 		Poison:       g.poison,
 		AcquireTrial: g.acquireTrial,
--- a/gateway/proxy/advisory.go
+++ b/gateway/proxy/advisory.go
@@ -28,7 +28,7 @@
 		p.logLeaving(c, a.lease)
 	}
 	if changes.BackoffExtended {
-		p.logRest(c, a.lease, a.advisory.RetryAfter)
+		p.logBackoff(c, a.lease, a.advisory.RetryAfter)
 	}
 	p.cfg.Metrics.Unreadable.Inc(int64(len(a.advisory.Unreadable)))
 	if changes.FirstUnreadable {
@@ -51,8 +51,8 @@
 		"recorded", lease.Record.Leaving)
 }
 
-// logRest logs that an endpoint asks this gateway for no requests for d.
-func (p *Proxy) logRest(c *call, lease *balance.Lease, d time.Duration) {
+// logBackoff logs that an endpoint asks this gateway for no requests for d.
+func (p *Proxy) logBackoff(c *call, lease *balance.Lease, d time.Duration) {
 	p.cfg.Metrics.Rests.Inc(1)
 	p.cfg.Log.Info("endpoint rests", "request", c.id, "endpoint", lease.Record.ID, "born", lease.Record.Born,
 		"forMs", d.Milliseconds())
--- a/gateway/proxy/answer.go
+++ b/gateway/proxy/answer.go
@@ -49,7 +49,7 @@
 	return failure, balance.Failed
 }
 
-// refusal returns what a refusal implies for the endpoint. A refusal that asks for a rest is not
+// refusal returns what a refusal implies for the endpoint. A refusal that asks for a back-off is not
 // a failure: the endpoint states when it accepts requests again.
 func refusal(adv *advisory.Advisory) balance.Outcome {
 	if adv.RetryAfter > 0 {
--- a/gateway/proxy/crash.go
+++ b/gateway/proxy/crash.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// lookup returns the check of an endpoint's life, and whether the caller created it and has to
+// lookup returns the check of an endpoint's incarnation, and whether the caller created it and has to
 // perform it.
 func (d *crashDetector) lookup(l roster.Incarnation, now time.Time) (*crashCheck, bool) {
 	d.mu.Lock()
--- a/gateway/proxy/harness_test.go
+++ b/gateway/proxy/harness_test.go
@@ -171,7 +171,7 @@
 		WeightsDeadline: func(string, int64) (time.Time, bool) { return w.weightsDeadline, !w.weightsDeadline.IsZero() },
 		NewestVersion:   func(string) int64 { return w.newest.Load() },
 		ReadAdvisory:    readAdvisory,
-		AskToken:        w.askToken,
+		RequestToken:    w.askToken,
 		Poison:          w.poison, AcquireTrial: w.trial,
 		MinVersion: func(string) int64 { return w.minVersion.Load() }, Random: func() float64 { return float64(w.randomMilli.Load()) / 1000 },
 	})
--- a/gateway/proxy/pick.go
+++ b/gateway/proxy/pick.go
@@ -76,7 +76,7 @@
 func (p *Proxy) pick(ctx context.Context, q *balance.Query) (*balance.Lease, error) {
 	lease, err := p.cfg.Balancer.Pick(q, time.Now())
 	var full *balance.FullError
-	if errors.As(err, &full) && full.TokenFrom.ID != "" && p.cfg.AskToken(ctx, full.TokenFrom) {
+	if errors.As(err, &full) && full.TokenFrom.ID != "" && p.cfg.RequestToken(ctx, full.TokenFrom) {
 		return p.cfg.Balancer.Pick(q, time.Now())
 	}
 	return lease, err
--- a/gateway/proxy/proxy.go
+++ b/gateway/proxy/proxy.go
@@ -53,9 +53,9 @@
 	// AcquireTrial asks for the lease on a suspected request for at most d. It returns whether
 	// the lease was granted and a function that releases it.
 	AcquireTrial func(ctx context.Context, k poison.Key, d time.Duration) (release func(), granted bool)
-	// AskToken asks the gateway that holds an endpoint for permission to send one request to it,
+	// RequestToken asks the gateway that holds an endpoint for permission to send one request to it,
 	// and reports whether the request may be sent now. If nil, permission is never granted.
-	AskToken func(ctx context.Context, l roster.Incarnation) bool
+	RequestToken func(ctx context.Context, l roster.Incarnation) bool
 	// Random returns a random number in [0, 1).
 	Random func() float64
 }
@@ -88,8 +88,8 @@
 	if cfg.ReadAdvisory == nil {
 		cfg.ReadAdvisory = func(int, http.Header) advisory.Advisory { return advisory.Advisory{Limit: advisory.Unknown{}} }
 	}
-	if cfg.AskToken == nil {
-		cfg.AskToken = func(context.Context, roster.Incarnation) bool { return false }
+	if cfg.RequestToken == nil {
+		cfg.RequestToken = func(context.Context, roster.Incarnation) bool { return false }
 	}
 	p := &Proxy{cfg: cfg, inFlight: drain.NewTracker(), callerTimeouts: newTimeoutTracker(), refusals: newRefusals(), crashes: newCrashDetector(cfg.Client.Refuses)}
 	p.stopCtx, p.CancelRequests = context.WithCancel(context.Background())
--- a/member/counts.go
+++ b/member/counts.go
@@ -8,16 +8,16 @@
 
 // add adds n to the count of l and removes the count once it is no longer positive.
 func (c counts) add(l roster.Incarnation, n int) {
-	lives := c[l.ID]
-	if lives == nil {
-		lives = map[int64]int{}
-		c[l.ID] = lives
+	byStart := c[l.ID]
+	if byStart == nil {
+		byStart = map[int64]int{}
+		c[l.ID] = byStart
 	}
-	lives[l.Born] += n
-	if lives[l.Born] <= 0 {
-		delete(lives, l.Born)
+	byStart[l.Born] += n
+	if byStart[l.Born] <= 0 {
+		delete(byStart, l.Born)
 	}
-	if len(lives) == 0 {
+	if len(byStart) == 0 {
 		delete(c, l.ID)
 	}
 }
--- a/member/digest.go
+++ b/member/digest.go
@@ -71,8 +71,8 @@
 
 // addCounts adds the counts of others, multiplied by sign.
 func (c keyCounts) addCounts(others counts, sign int) {
-	for id, lives := range others {
-		for born, n := range lives {
+	for id, byStart := range others {
+		for born, n := range byStart {
 			c[keyOf(roster.Incarnation{ID: id, Born: born})] += sign * n
 		}
 	}
--- a/member/member.go
+++ b/member/member.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// life returns the incarnation of endpoint id that the heartbeat refers to.
-func (b *Heartbeat) life(id string) roster.Incarnation {
+// incarnation returns the incarnation of endpoint id that the heartbeat refers to.
+func (b *Heartbeat) incarnation(id string) roster.Incarnation {
 	return roster.Incarnation{ID: id, Born: b.Born[id]}
 }
 
--- a/member/relay.go
+++ b/member/relay.go
@@ -14,7 +14,7 @@
 	// time to report to it.
 	fresh, settled bool
 	zone           string
-	life           uint64
+	incarnation    uint64
 	// roll is the relay's membership list as known here, reportedHash the hash in its last
 	// digest. They differ while changes are missing.
 	roll         *roll
@@ -33,8 +33,8 @@
 // applyDigest records the digest of the relay from. The caller must hold t.mu.
 func (t *Table) applyDigest(from Entry, d *Digest, now time.Time) {
 	r := t.relays[from.Name]
-	if r == nil || r.life != from.Life {
-		r = &relayState{firstHeardAt: now, zone: from.Zone, life: from.Life, roll: newRoll()}
+	if r == nil || r.incarnation != from.Life {
+		r = &relayState{firstHeardAt: now, zone: from.Zone, incarnation: from.Life, roll: newRoll()}
 		t.relays[from.Name] = r
 	}
 	r.heardAt, r.fresh, r.reportedHash = now, true, d.Roll.Hash
@@ -68,7 +68,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.relays[from.Name]
-	if r == nil || r.life != from.Life {
+	if r == nil || r.incarnation != from.Life {
 		return
 	}
 	r.roll = newRoll()
--- a/member/table.go
+++ b/member/table.go
@@ -190,10 +190,10 @@
 // countInto adds the heartbeat's endpoint loads to the counts, multiplied by sign.
 func (b *Heartbeat) countInto(inFlight, suspects counts, sign int) {
 	for id, n := range b.InFlight {
-		inFlight.add(b.life(id), sign*n)
+		inFlight.add(b.incarnation(id), sign*n)
 	}
 	for _, id := range b.Suspects {
-		suspects.add(b.life(id), sign)
+		suspects.add(b.incarnation(id), sign)
 	}
 }
 
