--- a/gateway/policy/retry.go
+++ b/gateway/policy/retry.go
@@ -100,7 +100,7 @@
 	ReuseDelay = 200 * time.Millisecond
 	// reuseFactor bounds the number of attempts including these, as a multiple of the route's
 	// limit: two for each endpoint. Without reuse, 4 of 373 requests in a soak test were cut off
-	// because their attempts were used up; a larger factor was not tried.
+	// because their attempts were used up.
 	reuseFactor = 2
 )
 
--- a/gateway/proxy/hedge.go
+++ b/gateway/proxy/hedge.go
@@ -31,7 +31,7 @@
 // no effect.
 func (p *Proxy) hedge(ctx context.Context, c *call, maxLoad float64, maxIdle time.Duration) bool {
 	if p.poisonState(c) != poison.Clear {
-		return false // a second endpoint could end under the request as well
+		return false // a second endpoint could crash under the request as well
 	}
 	now := time.Now()
 	q := p.query(c)
--- a/gateway/proxy/proxy.go
+++ b/gateway/proxy/proxy.go
@@ -48,7 +48,7 @@
 	// ReadAdvisory parses what the head of a response states about its endpoint. If nil,
 	// responses state nothing.
 	ReadAdvisory func(status int, h http.Header) advisory.Advisory
-	// Poison records the requests under which endpoints ended.
+	// Poison records the requests under which endpoints crashed.
 	Poison *poison.Table
 	// AcquireTrial asks for the lease on a suspected request for at most d. It returns whether
 	// the lease was granted and a function that releases it.
--- a/sidecar/watcher.go
+++ b/sidecar/watcher.go
@@ -169,17 +169,16 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	var sameZone, otherZones []string
+	var candidates, otherZones []string // candidates are those of the own zone, if there are any
 	for _, p := range w.gateways {
 		switch {
 		case now.Before(w.avoidUntil[p.Addr]):
 		case p.Zone == w.cfg.Zone:
-			sameZone = append(sameZone, p.Addr)
+			candidates = append(candidates, p.Addr)
 		default:
 			otherZones = append(otherZones, p.Addr)
 		}
 	}
-	candidates := sameZone
 	if len(candidates) == 0 {
 		candidates = otherZones
 	}
